--- a/bench/cost.c
+++ b/bench/cost.c
@@ -59,7 +59,7 @@
 	m.u.reserve.endpoint = n % endpoints + 1;
 	m.u.reserve.account = n % ACCOUNTS + 1;
 	m.u.reserve.tier = (uint8_t)(n % 3);
-	m.u.reserve.patience = PATIENCE + (pimento_usec_t)(n * 7919 % 1000);
+	m.u.reserve.time_left = PATIENCE + (pimento_usec_t)(n * 7919 % 1000);
 	m.u.reserve.prompt_tokens = 1;
 	m.u.reserve.answer_tokens = 1;
 	owner_receive(owner, 0, 1, &m);
@@ -153,7 +153,7 @@
 
 	for (int i = 0; i < PIMENTO_TIERS_MAX; i++) {
 		s.waiting[i] = i < 3 ? 200 : 0;
-		s.wait[i] = 20000;
+		s.wait_ms[i] = 20000;
 	}
 	return s;
 }
@@ -185,22 +185,23 @@
 						  .endpoint = ~0ULL,
 						  .account = ~0ULL,
 						  .tier = 1,
-						  .patience = PATIENCE,
+						  .time_left = PATIENCE,
 						  .prompt_tokens = 2000,
 						  .answer_tokens = 400,
-						  .prefix = ~0ULL };
+						  .prefix_hash = ~0ULL };
 	granted.u.grant = (message_grant_t){ .request = reqid_new(),
 					     .round = 1,
 					     .epoch = UINT32_MAX,
 					     .lifetime = OWNER_LIFETIME,
 					     .summary = summary_new() };
-	said.u.progress = (message_progress_t){ .request = reqid_new(),
-						.round = 1,
-						.endpoint = ~0ULL,
-						.epoch = UINT32_MAX,
-						.answer_tokens = 400,
-						.first_token = PIMENTO_SEC,
-						.decode = 9 * PIMENTO_SEC };
+	said.u.progress =
+		(message_progress_t){ .request = reqid_new(),
+				      .round = 1,
+				      .endpoint = ~0ULL,
+				      .epoch = UINT32_MAX,
+				      .answer_tokens = 400,
+				      .time_to_first_token = PIMENTO_SEC,
+				      .decode_time = 9 * PIMENTO_SEC };
 	digest.u.digest.count = 2;
 	digest.u.digest.summaries[0] = summary_new();
 	digest.u.digest.summaries[1] = summary_new();
--- a/bench/ours.c
+++ b/bench/ours.c
@@ -157,10 +157,10 @@
 	m.u.reserve.account = r->account + 1;
 	m.u.reserve.tier = r->class->tier;
 	m.u.reserve.hops = p->hops;
-	m.u.reserve.patience = query.patience;
+	m.u.reserve.time_left = query.patience;
 	m.u.reserve.prompt_tokens = query.prompt_tokens;
 	m.u.reserve.answer_tokens = query.answer_tokens;
-	m.u.reserve.prefix = query.prefix;
+	m.u.reserve.prefix_hash = query.prefix;
 	p->owner = o->hosts[r->host].owners[p->endpoint];
 	world_send(o->world, r->host, p->owner, &m);
 }
@@ -188,8 +188,9 @@
 	m.u.progress.epoch = p->epoch;
 	m.u.progress.answer_tokens = r->job.made;
 	if (r->first_token) {
-		m.u.progress.first_token = r->first_token - r->dispatched;
-		m.u.progress.decode = o->world->sim.now - r->first_token;
+		m.u.progress.time_to_first_token =
+			r->first_token - r->dispatched;
+		m.u.progress.decode_time = o->world->sim.now - r->first_token;
 	}
 	world_send(o->world, r->host, to, &m);
 }
@@ -207,8 +208,9 @@
 	m.u.release.prompt_tokens = r->prompt;
 	m.u.release.answer_tokens = r->job.made;
 	if (outcome != RELEASE_UNUSED && r->first_token) {
-		m.u.release.first_token = r->first_token - r->dispatched;
-		m.u.release.decode = o->world->sim.now - r->first_token;
+		m.u.release.time_to_first_token =
+			r->first_token - r->dispatched;
+		m.u.release.decode_time = o->world->sim.now - r->first_token;
 	}
 	world_send(o->world, r->host, p->owner, &m);
 }
--- a/bench/slope_gossip.c
+++ b/bench/slope_gossip.c
@@ -25,7 +25,7 @@
 static void start_fleet(gossip_t *f, uint32_t count, char *config)
 {
 	gossip_init(f, count, 11);
-	gossip_publish(f, SPREAD_CONFIG, config);
+	gossip_publish(f, CONFIG_SYNC_CONFIG, config);
 	gossip_publish_hosts(f);
 	for (uint32_t i = 0; i < count; i++)
 		gossip_start(f, i);
@@ -90,7 +90,7 @@
 
 static uint32_t not_in_force(const gossip_t *f)
 {
-	return gossip_up(f) - gossip_in_force(f, SPREAD_CONFIG);
+	return gossip_up(f) - gossip_in_force(f, CONFIG_SYNC_CONFIG);
 }
 
 static pimento_usec_t until(gossip_t *f, uint32_t (*count)(const gossip_t *))
@@ -167,7 +167,7 @@
 
 	clear_counters(f);
 	for (uint32_t i = 0; i < times; i++) {
-		gossip_publish(f, SPREAD_CONFIG,
+		gossip_publish(f, CONFIG_SYNC_CONFIG,
 			       next_text(size, endpoints, i, whole));
 		spans[i] = until(f, not_in_force);
 		gossip_run(f, PIMENTO_SEC);
--- a/bench/slope_request.c
+++ b/bench/slope_request.c
@@ -264,7 +264,7 @@
 		    k == MESSAGE_DIGEST)
 			continue;
 		snprintf(what, sizeof(what), "%s, of it %s", keyed,
-			 message_name((message_kind_t)k));
+			 message_kind_name((message_kind_t)k));
 		slope_row("request", what, size,
 			  (double)m->bytes[k] / (double)m->done,
 			  "bytes/request");
--- a/bench/slope_table.c
+++ b/bench/slope_table.c
@@ -86,7 +86,7 @@
 	wire_digest(16);
 	wire_part(100);
 	wire_part(1000);
-	wire_part(MESSAGE_PART_MAX);
+	wire_part(MESSAGE_PART_BYTES_MAX);
 }
 
 static void fill_list(hostlist_t *list, uint32_t n, bool endpoints)
@@ -148,7 +148,7 @@
 					   .endpoint = ID(i % endpoints),
 					   .account = ID(i % 300),
 					   .tier = (uint8_t)(i % 5),
-					   .patience = 3600 * PIMENTO_SEC * 24,
+					   .time_left = 3600 * PIMENTO_SEC * 24,
 					   .prompt_tokens = 10,
 					   .answer_tokens = 10 };
 	owner_receive(owner, 0, ID(i % 400), &m);
@@ -203,7 +203,7 @@
 	witness_options_t options = { .incarnation = 5,
 				      .capacity = 131072,
 				      .retention = 600 * PIMENTO_SEC,
-				      .skew = PIMENTO_SEC };
+				      .clock_skew_max = PIMENTO_SEC };
 	message_claim_t q = { .op = CLAIM_TAKE,
 			      .incarnation = 5,
 			      .attempt = 1 };
@@ -220,18 +220,18 @@
 	for (uint32_t i = 0; i < keys; i++) {
 		q.key = (pimento_key_t){ ID(i), ID(i + 3) };
 		q.sequence = i + 1;
-		q.place.request.lo = i + 1;
-		q.place.endpoint = ID(1);
+		q.dispatch.request.lo = i + 1;
+		q.dispatch.endpoint = ID(1);
 		q.op = CLAIM_TAKE;
-		q.place.done = 0;
-		q.place.answer_size = 0;
+		q.dispatch.done = 0;
+		q.dispatch.answer_size = 0;
 		witness_receive(&witness, PIMENTO_SEC, &q, &reply);
-		taken += reply.answer == PIMENTO_OK;
+		taken += reply.result == PIMENTO_OK;
 		if (!answer)
 			continue;
 		q.op = CLAIM_DONE;
-		q.place.done = 1;
-		q.place.answer_size = (uint16_t)answer;
+		q.dispatch.done = 1;
+		q.dispatch.answer_size = (uint16_t)answer;
 		witness_receive(&witness, PIMENTO_SEC, &q, &reply);
 	}
 	slope_row("tables", "witness, claims held", keys, taken, "");
--- a/daemon/pimentoedge.c
+++ b/daemon/pimentoedge.c
@@ -382,7 +382,7 @@
 	gateway_configure(&edge->gateway, catalog);
 }
 
-static void on_replied(void *context, const packet_reply_t *reply)
+static void on_replied(void *context, const packet_slot_reply_t *reply)
 {
 	edge_t *edge = context;
 
--- a/io/control.c
+++ b/io/control.c
@@ -39,7 +39,7 @@
 
 	if (pimento_host_receive(control->host, sys_now(), from, message))
 		log_line(LOG_LEVEL_DEBUG, "control", "ignored a %s message",
-			 message_name(message->kind));
+			 message_kind_name(message->kind));
 }
 
 static void on_hello(link_handler_t *handler, message_t *message)
--- a/io/gateway.h
+++ b/io/gateway.h
@@ -144,7 +144,7 @@
 bool gateway_able(const gateway_t *gateway, pimento_usec_t now);
 
 /* The owner of an endpoint has answered an ask of this gateway. */
-void gateway_replied(gateway_t *gateway, const packet_reply_t *reply);
+void gateway_replied(gateway_t *gateway, const packet_slot_reply_t *reply);
 
 /* Ends what is overdue and tries what waits; call some 20 times a second. */
 void gateway_tick(gateway_t *gateway, pimento_usec_t now);
--- a/io/http_intake.c
+++ b/io/http_intake.c
@@ -84,7 +84,7 @@
 		return intake_fail(in, PIMENTO_EINVAL,
 				   "Pimento-Attempt must be 1 to 1000000");
 	if (key && (!*key || strlen(key) >= PIMENTO_KEY_TEXT ||
-		    (strlen(key) > KEY_MAX && !keyring_issued(key))))
+		    (strlen(key) > KEY_MAX && !idem_key_is_issued(key))))
 		return intake_fail(
 			in, PIMENTO_EINVAL,
 			"Idempotency-Key must have 1 to 128 characters");
--- a/io/link.c
+++ b/io/link.c
@@ -418,18 +418,18 @@
 	link_connection_t *c = &links->connections[index];
 	size_t at = 0;
 
-	while (c->in_used - at >= WIRE_HEAD) {
-		int length = wire_length(c->in + at);
+	while (c->in_used - at >= WIRE_HEADER_SIZE) {
+		int length = wire_payload_length(c->in + at);
 		pimento_id_t from;
 
 		if (length < 0)
 			return false;
-		if (c->in_used - at < (size_t)length + WIRE_HEAD)
+		if (c->in_used - at < (size_t)length + WIRE_HEADER_SIZE)
 			break;
-		if (wire_decode(c->in + at + WIRE_HEAD, (size_t)length, &from,
-				&links->scratch))
+		if (wire_decode(c->in + at + WIRE_HEADER_SIZE, (size_t)length,
+				&from, &links->scratch))
 			return false;
-		at += (size_t)length + WIRE_HEAD;
+		at += (size_t)length + WIRE_HEADER_SIZE;
 		links->counters.messages_in++;
 		learn_peer(links, c, from);
 		links->handler->message(links->handler, from, &links->scratch);
--- a/io/mesh.c
+++ b/io/mesh.c
@@ -83,9 +83,9 @@
 static void send_note(mesh_t *mesh, roster_note_t *note, uint32_t address)
 {
 	net_address_t to = { address, mesh->note_port };
-	uint8_t bytes[PACKET_BYTES];
+	uint8_t bytes[PACKET_BYTES_MAX];
 	pimento_usec_t now = sys_now();
-	packet_t packet = { .kind = PACKET_NOTE };
+	packet_t packet = { .kind = PACKET_GOSSIP };
 	int length;
 
 	note->stamp = now;
@@ -95,7 +95,7 @@
 			mesh->mirrors[kind].revision,
 			mirror_age(&mesh->mirrors[kind], now),
 		};
-	packet.as.note = *note;
+	packet.as.gossip = *note;
 	length = packet_pack(&packet, bytes, sizeof(bytes));
 	if (length < 0)
 		return;
@@ -197,8 +197,8 @@
 
 	if (packet_unpack(&packet, bytes, length))
 		return;
-	if (packet.kind == PACKET_NOTE)
-		take_note(mesh, &packet.as.note, now);
+	if (packet.kind == PACKET_GOSSIP)
+		take_note(mesh, &packet.as.gossip, now);
 	else if (packet.kind == PACKET_QUOTA)
 		quota_fleet_receive(mesh->quota, &packet.as.quota, now);
 	else
@@ -208,7 +208,7 @@
 static void on_datagram(struct ev_loop *loop, ev_io *watcher, int events)
 {
 	mesh_t *mesh = watcher->data;
-	uint8_t bytes[PACKET_BYTES];
+	uint8_t bytes[PACKET_BYTES_MAX];
 
 	(void)loop;
 	(void)events;
@@ -496,7 +496,7 @@
 		     const quota_message_t *message)
 {
 	net_address_t to = { address, mesh->note_port };
-	uint8_t bytes[PACKET_BYTES];
+	uint8_t bytes[PACKET_BYTES_MAX];
 	packet_t packet = { .kind = PACKET_QUOTA };
 	int length;
 
--- a/io/placing.c
+++ b/io/placing.c
@@ -45,7 +45,7 @@
  * may the exchange that waited, if it still stood in other lines.
  */
 static void release(slots_t *slots, const exchange_place_t *place,
-		    packet_release_t words)
+		    packet_slot_release_t words)
 {
 	words.ticket = place->ticket;
 	slots_release(slots, place->endpoint, &words, sys_now());
@@ -55,8 +55,8 @@
 void placing_give_back(exchange_t *x)
 {
 	exchange_place_t place = x->place;
-	packet_release_t words = { .gap_us = (uint32_t)mean_gap(x),
-				   .finding = x->finding };
+	packet_slot_release_t words = { .gap_us = (uint32_t)mean_gap(x),
+					.outcome = x->finding };
 
 	x->place = (exchange_place_t){ 0 };
 	if (place.ticket)
@@ -75,8 +75,8 @@
 void placing_tell_pace(exchange_t *x)
 {
 	pimento_usec_t gap = mean_gap(x);
-	packet_release_t words = { .gap_us = (uint32_t)gap,
-				   .finding = PACE_ANSWERS };
+	packet_slot_release_t words = { .gap_us = (uint32_t)gap,
+					.outcome = PACE_ANSWERS };
 
 	if (!x->place.ticket || x->told_pace || !gap ||
 	    x->events.count - x->events_before < NEWS_EVENTS)
@@ -91,7 +91,7 @@
 			uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++)
-		release(slots, &places[i], (packet_release_t){ 0 });
+		release(slots, &places[i], (packet_slot_release_t){ 0 });
 }
 
 /* Out of the exchange's list; the owner is not told. */
@@ -401,7 +401,7 @@
 	       placement_suits(x->gateway->directory, &request, endpoint, now);
 }
 
-void gateway_replied(gateway_t *gateway, const packet_reply_t *reply)
+void gateway_replied(gateway_t *gateway, const packet_slot_reply_t *reply)
 {
 	uint32_t index;
 	exchange_t *x = find_ticket(gateway, reply->ticket, &index);
@@ -413,7 +413,7 @@
 		return; /* over meanwhile, and released */
 	endpoint = x->lines[index].endpoint;
 	x->lines[index].in_line = true;
-	directory_told(endpoint, &reply->word, now);
+	directory_told(endpoint, &reply->report, now);
 	if (x == gateway->asking) {
 		if (reply->granted)
 			x->given = reply->ticket; /* this host is the owner */
--- a/io/slots.c
+++ b/io/slots.c
@@ -24,7 +24,7 @@
 			const packet_t *packet)
 {
 	net_address_t to = { address, slots->port };
-	uint8_t bytes[PACKET_BYTES];
+	uint8_t bytes[PACKET_BYTES_MAX];
 	int length = packet_pack(packet, bytes, sizeof(bytes));
 
 	if (length > 0)
@@ -83,17 +83,17 @@
 static void reply(slots_t *slots, const grants_ask_t *ask, bool granted,
 		  pimento_usec_t now)
 {
-	packet_t packet = { .kind = PACKET_REPLY };
+	packet_t packet = { .kind = PACKET_SLOT_REPLY };
 	const directory_endpoint_t *endpoint =
 		endpoint_of(slots, ask->endpoint);
 
-	packet.as.reply = (packet_reply_t){ .endpoint = ask->endpoint,
-					    .ticket = ask->ticket,
-					    .granted = granted };
+	packet.as.slot_reply = (packet_slot_reply_t){ .endpoint = ask->endpoint,
+						      .ticket = ask->ticket,
+						      .granted = granted };
 	if (endpoint)
-		packet.as.reply.word = word_of(slots, endpoint, now);
+		packet.as.slot_reply.report = word_of(slots, endpoint, now);
 	if (ask->address == slots->self)
-		slots->replied(slots->context, &packet.as.reply);
+		slots->replied(slots->context, &packet.as.slot_reply);
 	else
 		send_packet(slots, ask->address, &packet);
 }
@@ -187,7 +187,7 @@
 		      "endpoint=%s failures=%u", endpoint->id, before);
 }
 
-static void take_release(slots_t *slots, const packet_release_t *release,
+static void take_release(slots_t *slots, const packet_slot_release_t *release,
 			 pimento_usec_t now)
 {
 	directory_endpoint_t *endpoint = endpoint_of(slots, release->endpoint);
@@ -198,9 +198,9 @@
 
 	/* what this host found out itself was learnt on the way */
 	if (service && release->address != slots->self) {
-		pace_heard(&endpoint->pace, &service->pace, release->finding,
+		pace_heard(&endpoint->pace, &service->pace, release->outcome,
 			   now);
-		slots_learn(slots, endpoint, release->finding, now);
+		slots_learn(slots, endpoint, release->outcome, now);
 		if (release->gap_us)
 			pace_gap_mean(&endpoint->pace, &service->pace,
 				      release->gap_us);
@@ -214,7 +214,7 @@
 	       grants_ask_t *ask, pimento_usec_t now)
 {
 	uint32_t owner = owner_of(slots, endpoint);
-	packet_t packet = { .kind = PACKET_ASK };
+	packet_t packet = { .kind = PACKET_SLOT_REQUEST };
 
 	ask->endpoint = (uint32_t)endpoint->key;
 	ask->address = slots->self;
@@ -223,21 +223,21 @@
 		take_ask(slots, ask, now);
 		return;
 	}
-	packet.as.ask = *ask;
+	packet.as.slot_request = *ask;
 	send_packet(slots, owner, &packet);
 }
 
 void slots_release(slots_t *slots, directory_endpoint_t *endpoint,
-		   const packet_release_t *release, pimento_usec_t now)
+		   const packet_slot_release_t *release, pimento_usec_t now)
 {
 	uint32_t owner = owner_of(slots, endpoint);
-	packet_t packet = { .kind = PACKET_RELEASE };
+	packet_t packet = { .kind = PACKET_SLOT_RELEASE };
 
-	packet.as.release = *release;
-	packet.as.release.endpoint = (uint32_t)endpoint->key;
-	packet.as.release.address = slots->self;
+	packet.as.slot_release = *release;
+	packet.as.slot_release.endpoint = (uint32_t)endpoint->key;
+	packet.as.slot_release.address = slots->self;
 	if (owner == slots->self)
-		take_release(slots, &packet.as.release, now);
+		take_release(slots, &packet.as.slot_release, now);
 	else
 		send_packet(slots, owner, &packet);
 }
@@ -245,21 +245,22 @@
 void slots_take(slots_t *slots, const packet_t *packet, pimento_usec_t now)
 {
 	switch (packet->kind) {
-	case PACKET_ASK:
-		take_ask(slots, &packet->as.ask, now);
+	case PACKET_SLOT_REQUEST:
+		take_ask(slots, &packet->as.slot_request, now);
 		break;
-	case PACKET_REPLY:
-		slots->replied(slots->context, &packet->as.reply);
+	case PACKET_SLOT_REPLY:
+		slots->replied(slots->context, &packet->as.slot_reply);
 		break;
-	case PACKET_RELEASE:
-		take_release(slots, &packet->as.release, now);
+	case PACKET_SLOT_RELEASE:
+		take_release(slots, &packet->as.slot_release, now);
 		break;
-	case PACKET_REPORT:
-		(void)grants_report(&slots->grants, packet->as.report.endpoint,
-				    packet->as.report.address,
-				    packet->as.report.running, now);
+	case PACKET_RUNNING_REPORT:
+		(void)grants_report(&slots->grants,
+				    packet->as.running_report.endpoint,
+				    packet->as.running_report.address,
+				    packet->as.running_report.running, now);
 		break;
-	case PACKET_NOTE:
+	case PACKET_GOSSIP:
 	case PACKET_QUOTA:
 		break; /* the mesh's own */
 	}
@@ -289,7 +290,7 @@
 static void report(const slots_t *slots, directory_endpoint_t *endpoint,
 		   pimento_usec_t now)
 {
-	packet_t packet = { .kind = PACKET_REPORT };
+	packet_t packet = { .kind = PACKET_RUNNING_REPORT };
 
 	if (!endpoint->running && !endpoint->reported)
 		return;
@@ -298,7 +299,7 @@
 		return;
 	endpoint->reported_at = now;
 	endpoint->reported = endpoint->running;
-	packet.as.report = (packet_report_t){
+	packet.as.running_report = (packet_running_report_t){
 		.endpoint = (uint32_t)endpoint->key,
 		.address = slots->self,
 		.running = endpoint->running,
--- a/io/slots.h
+++ b/io/slots.h
@@ -20,7 +20,7 @@
 	uint16_t port; /* of every host */
 	uint32_t self;
 	/* An answer to an ask of this host. */
-	void (*replied)(void *context, const packet_reply_t *reply);
+	void (*replied)(void *context, const packet_slot_reply_t *reply);
 	void *context;
 	uint64_t asked; /* counters */
 	uint64_t granted; /* as owner */
@@ -37,7 +37,7 @@
 	       grants_ask_t *ask, pimento_usec_t now);
 /* The request is over; ticket, gap and failure are the caller's to fill. */
 void slots_release(slots_t *slots, directory_endpoint_t *endpoint,
-		   const packet_release_t *release, pimento_usec_t now);
+		   const packet_slot_release_t *release, pimento_usec_t now);
 
 /*
  * What this host's note says of the endpoints that it keeps, and of others what
--- a/src/claim.c
+++ b/src/claim.c
@@ -30,36 +30,36 @@
 	    set->count > PIMENTO_WITNESSES_MAX || set->quorum > set->count ||
 	    2 * set->quorum <= set->count)
 		return PIMENTO_EINVAL;
-	if (options->timeout <= 0 || options->timeout > CLAIM_STEP_MAX)
+	if (options->timeout <= 0 || options->timeout > CLAIM_STEP_TIMEOUT_MAX)
 		return PIMENTO_EINVAL;
 	claim->options = *options;
 	claim->sequence = options->sequence;
 	claim->attempt = options->attempt;
-	claim->resend = PIMENTO_NEVER;
+	claim->resend_at = PIMENTO_NEVER;
 	claim->deadline = PIMENTO_NEVER;
 	return PIMENTO_OK;
 }
 
-static uint32_t bits(uint32_t mask)
+static uint32_t count_bits(uint32_t mask)
 {
 	return (uint32_t)__builtin_popcount(mask);
 }
 
-static bool waiting(const claim_t *claim)
+static bool step_pending(const claim_t *claim)
 {
 	switch (claim->state) {
 	case CLAIM_QUERYING:
 	case CLAIM_TAKING:
 	case CLAIM_SEALING:
 	case CLAIM_WITHDRAWING:
-	case CLAIM_TELLING:
+	case CLAIM_REPORTING:
 		return true;
 	default:
 		return false;
 	}
 }
 
-static claim_op_t op_of(claim_state_t state)
+static claim_op_t op_for_state(claim_state_t state)
 {
 	switch (state) {
 	case CLAIM_TAKING:
@@ -67,7 +67,7 @@
 	case CLAIM_SEALING:
 	case CLAIM_WITHDRAWING:
 		return CLAIM_SEAL;
-	case CLAIM_TELLING:
+	case CLAIM_REPORTING:
 		return CLAIM_DONE;
 	default:
 		return CLAIM_QUERY;
@@ -75,64 +75,64 @@
 }
 
 /*
- * The age goes on while the request waits for its grant. A question that
+ * The age goes on while the request waits for its grant. A message that
  * stated the age of the key's arrival would pass a witness that restarted in
  * between for one that was there all along.
  */
-static pimento_usec_t age(const claim_t *claim, pimento_usec_t now)
+static pimento_usec_t key_age(const claim_t *claim, pimento_usec_t now)
 {
 	pimento_usec_t value;
 
-	if (claim->options.age == CLAIM_AGE_UNKNOWN)
+	if (claim->options.key_age == CLAIM_AGE_UNKNOWN)
 		return CLAIM_AGE_UNKNOWN;
-	value = now - claim->born;
+	value = now - claim->key_created;
 	return value == CLAIM_AGE_UNKNOWN ? 0 : value;
 }
 
 /* Asks each witness that has not agreed yet; a full outbox counts as loss. */
-static void ask(claim_t *claim, pimento_usec_t now, outbox_t *out)
+static void send_requests(claim_t *claim, pimento_usec_t now, outbox_t *out)
 {
 	const witness_set_t *set = &claim->options.witnesses;
-	uint32_t settled = claim->agreed | claim->refused;
+	uint32_t done_mask = claim->agreed_mask | claim->refused_mask;
 	message_t message = { .kind = MESSAGE_CLAIM };
-	message_claim_t *question = &message.u.claim;
-
-	question->op = (uint8_t)op_of(claim->state);
-	question->key = claim->options.key;
-	question->sequence = claim->sequence;
-	question->view = set->view;
-	question->age = age(claim, now);
-	question->attempt = claim->attempt;
-	question->place = claim->place;
-	question->place.digest = claim->options.digest;
+	message_claim_t *msg = &message.u.claim;
+
+	msg->op = (uint8_t)op_for_state(claim->state);
+	msg->key = claim->options.key;
+	msg->sequence = claim->sequence;
+	msg->witness_set_hash = set->set_hash;
+	msg->key_age = key_age(claim, now);
+	msg->attempt = claim->attempt;
+	msg->dispatch = claim->dispatch;
+	msg->dispatch.digest = claim->options.digest;
 	for (uint32_t i = 0; i < set->count; i++) {
-		if (settled & 1U << i)
+		if (done_mask & 1U << i)
 			continue;
-		question->incarnation = set->incarnations[i];
+		msg->incarnation = set->incarnations[i];
 		outbox_put(out, set->hosts[i], &message);
 	}
-	claim->resend = now + claim->options.timeout / RESENDS_PER_STEP;
+	claim->resend_at = now + claim->options.timeout / RESENDS_PER_STEP;
 }
 
-static void begin(claim_t *claim, pimento_usec_t now, claim_state_t state,
-		  outbox_t *out)
+static void begin_step(claim_t *claim, pimento_usec_t now, claim_state_t state,
+		       outbox_t *out)
 {
 	claim->state = state;
 	claim->sequence++;
-	claim->answered = 0;
-	claim->agreed = 0;
-	claim->refused = 0;
+	claim->answered_mask = 0;
+	claim->agreed_mask = 0;
+	claim->refused_mask = 0;
 	claim->expired = false;
 	memset(claim->reports, 0, sizeof(claim->reports));
 	claim->deadline = now + claim->options.timeout;
-	ask(claim, now, out);
+	send_requests(claim, now, out);
 }
 
-static claim_event_t end(claim_t *claim, claim_state_t state,
-			 claim_event_t event)
+static claim_event_t end_step(claim_t *claim, claim_state_t state,
+			      claim_event_t event)
 {
 	claim->state = state;
-	claim->resend = PIMENTO_NEVER;
+	claim->resend_at = PIMENTO_NEVER;
 	claim->deadline = PIMENTO_NEVER;
 	return event;
 }
@@ -141,39 +141,39 @@
 {
 	if (claim->state != CLAIM_IDLE)
 		return;
-	claim->born = now - claim->options.age;
-	begin(claim, now, CLAIM_QUERYING, out);
+	claim->key_created = now - claim->options.key_age;
+	begin_step(claim, now, CLAIM_QUERYING, out);
 }
 
 void claim_take(claim_t *claim, pimento_usec_t now,
-		const message_place_t *place, outbox_t *out)
+		const message_dispatch_t *dispatch, outbox_t *out)
 {
-	if (claim->state != CLAIM_KNOWN && claim->state != CLAIM_TAKEN)
+	if (claim->state != CLAIM_AVAILABLE && claim->state != CLAIM_TAKEN)
 		return;
-	claim->place = *place;
+	claim->dispatch = *dispatch;
 	claim->take_sent = true;
-	begin(claim, now, CLAIM_TAKING, out);
+	begin_step(claim, now, CLAIM_TAKING, out);
 }
 
 void claim_seal(claim_t *claim, pimento_usec_t now, outbox_t *out)
 {
-	if (claim->state == CLAIM_SEALING || claim->state == CLAIM_TELLING)
+	if (claim->state == CLAIM_SEALING || claim->state == CLAIM_REPORTING)
 		return;
 	if (claim->state == CLAIM_IDLE)
-		claim->born = now - claim->options.age;
+		claim->key_created = now - claim->options.key_age;
 	if (!claim->attempt)
 		claim->attempt = claim->sealed + 1;
-	begin(claim, now, CLAIM_SEALING, out);
+	begin_step(claim, now, CLAIM_SEALING, out);
 }
 
-void claim_done(claim_t *claim, pimento_usec_t now,
-		const message_place_t *place, outbox_t *out)
+void claim_complete(claim_t *claim, pimento_usec_t now,
+		    const message_dispatch_t *dispatch, outbox_t *out)
 {
 	if (claim->state != CLAIM_TAKEN)
 		return;
-	claim->place = *place;
-	claim->place.done = 1;
-	begin(claim, now, CLAIM_TELLING, out);
+	claim->dispatch = *dispatch;
+	claim->dispatch.done = 1;
+	begin_step(claim, now, CLAIM_REPORTING, out);
 }
 
 static int witness_index(const claim_t *claim, pimento_id_t from,
@@ -192,7 +192,7 @@
 }
 
 /* Witnesses whose report names this dispatch. */
-static uint32_t supporters(const claim_t *claim, pimento_reqid_t request)
+static uint32_t count_holders(const claim_t *claim, pimento_reqid_t request)
 {
 	uint32_t count = 0;
 
@@ -207,17 +207,17 @@
 
 /*
  * True when the claim of this attempt can neither have won nor win: a quorum
- * has barred the attempt and holds no claim. It is what an entry leaves behind
+ * has sealed the attempt and holds no claim. It is what an entry leaves behind
  * that died while taking.
  */
-static bool barred(const claim_t *claim, uint32_t attempt)
+static bool sealed_by_quorum(const claim_t *claim, uint32_t attempt)
 {
 	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < claim->options.witnesses.count; i++) {
 		const claim_report_t *report = &claim->reports[i];
 
-		count += (claim->answered & 1U << i) && !report->attempt &&
+		count += (claim->answered_mask & 1U << i) && !report->attempt &&
 			 report->sealed >= attempt;
 	}
 	return count >= claim->options.witnesses.quorum;
@@ -225,11 +225,11 @@
 
 static bool is_ours(const claim_t *claim, pimento_reqid_t request)
 {
-	return pimento_reqid_equal(claim->place.request, request);
+	return pimento_reqid_equal(claim->dispatch.request, request);
 }
 
 /* A claim of others that may have won, if one is reported. */
-static const claim_report_t *rival(const claim_t *claim)
+static const claim_report_t *strongest_rival(const claim_t *claim)
 {
 	const claim_report_t *best = NULL;
 
@@ -238,11 +238,12 @@
 
 		if (!report->attempt || is_ours(claim, report->request))
 			continue;
-		if (!report->done && barred(claim, report->attempt))
+		if (!report->done && sealed_by_quorum(claim, report->attempt))
 			continue;
 		if (!best || report->done ||
-		    (!best->done && supporters(claim, report->request) >
-					    supporters(claim, best->request)))
+		    (!best->done &&
+		     count_holders(claim, report->request) >
+			     count_holders(claim, best->request)))
 			best = report;
 	}
 	return best;
@@ -251,72 +252,74 @@
 /* True when a rival holds a quorum, or its outcome is known. */
 static bool rival_won(const claim_t *claim)
 {
-	const claim_report_t *report = rival(claim);
+	const claim_report_t *report = strongest_rival(claim);
 
 	return report &&
-	       (report->done || supporters(claim, report->request) >=
+	       (report->done || count_holders(claim, report->request) >=
 					claim->options.witnesses.quorum);
 }
 
 /* Keeps the place of the rival that is likeliest to run. */
-static void note_held(claim_t *claim, const message_place_t *place)
+static void record_held(claim_t *claim, const message_dispatch_t *dispatch)
 {
-	const claim_report_t *best = rival(claim);
+	const claim_report_t *best = strongest_rival(claim);
 
-	if (!best || !pimento_reqid_equal(best->request, place->request))
+	if (!best || !pimento_reqid_equal(best->request, dispatch->request))
 		return;
-	claim->held = *place;
-	claim->held_seen = true;
+	claim->held = *dispatch;
+	claim->held_valid = true;
 }
 
-static void note(claim_t *claim, int index, const message_witness_t *reply)
+static void record_reply(claim_t *claim, int index,
+			 const message_witness_t *reply)
 {
 	claim_report_t *report = &claim->reports[index];
 	uint32_t bit = 1U << index;
 
 	report->attempt = reply->attempt;
-	report->request = reply->place.request;
-	report->done = reply->attempt && reply->place.done;
-	switch (reply->answer) {
+	report->request = reply->dispatch.request;
+	report->done = reply->attempt && reply->dispatch.done;
+	switch (reply->result) {
 	case PIMENTO_OK:
-		claim->agreed |= bit;
-		claim->answered |= bit;
+		claim->agreed_mask |= bit;
+		claim->answered_mask |= bit;
 		break;
 	case PIMENTO_ECLAIMED:
 	case PIMENTO_ESEALED:
-		claim->answered |= bit;
+		claim->answered_mask |= bit;
 		break;
 	default:
-		claim->refused |= bit;
-		claim->expired |= reply->answer == PIMENTO_EEXPIRED;
+		claim->refused_mask |= bit;
+		claim->expired |= reply->result == PIMENTO_EEXPIRED;
 		break;
 	}
-	if (claim->answered & bit && reply->sealed > report->sealed)
+	if (claim->answered_mask & bit && reply->sealed > report->sealed)
 		report->sealed = reply->sealed;
 	if (report->sealed > claim->sealed)
 		claim->sealed = report->sealed;
 	if (reply->attempt)
-		note_held(claim, &reply->place);
+		record_held(claim, &reply->dispatch);
 }
 
 /* True when a quorum has agreed. */
-static bool agreed(const claim_t *claim)
+static bool quorum_agreed(const claim_t *claim)
 {
-	return bits(claim->agreed) >= claim->options.witnesses.quorum;
+	return count_bits(claim->agreed_mask) >=
+	       claim->options.witnesses.quorum;
 }
 
 /* True when those outside the mask are too few for a quorum. */
-static bool lost(const claim_t *claim, uint32_t mask)
+static bool quorum_impossible(const claim_t *claim, uint32_t mask)
 {
 	const witness_set_t *set = &claim->options.witnesses;
 
-	return set->count - bits(mask) < set->quorum;
+	return set->count - count_bits(mask) < set->quorum;
 }
 
 static claim_event_t held_event(claim_t *claim)
 {
-	claim->told_held = true;
-	claim->told = claim->held.request;
+	claim->held_reported = true;
+	claim->reported_request = claim->held.request;
 	return claim->held.digest == claim->options.digest ? CLAIM_HELD
 							   : CLAIM_MISMATCH;
 }
@@ -331,16 +334,16 @@
 	if (!claim->attempt)
 		claim->attempt = claim->sealed + 1;
 	if (claim->attempt > claim->sealed)
-		return end(claim, CLAIM_KNOWN, CLAIM_FREE);
-	begin(claim, now, CLAIM_SEALING, out);
-	return CLAIM_NOTHING;
+		return end_step(claim, CLAIM_AVAILABLE, CLAIM_FREE);
+	begin_step(claim, now, CLAIM_SEALING, out);
+	return CLAIM_NO_EVENT;
 }
 
 static claim_event_t end_query_held(claim_t *claim)
 {
 	if (!claim->attempt)
-		claim->attempt = rival(claim)->attempt;
-	return end(claim, CLAIM_ENDED, held_event(claim));
+		claim->attempt = strongest_rival(claim)->attempt;
+	return end_step(claim, CLAIM_ENDED, held_event(claim));
 }
 
 /*
@@ -348,38 +351,40 @@
  * that have not answered could show that. They are given until the first
  * resend, for nobody should wait longer for an answer that is there.
  */
-static claim_event_t decide_query(claim_t *claim, pimento_usec_t now, bool over,
-				  outbox_t *out)
+static claim_event_t decide_query(claim_t *claim, pimento_usec_t now,
+				  bool timed_out, outbox_t *out)
 {
 	const witness_set_t *set = &claim->options.witnesses;
-	uint32_t heard = claim->answered | claim->refused;
-	bool quorum = bits(claim->answered) >= set->quorum;
+	uint32_t replied = claim->answered_mask | claim->refused_mask;
+	bool quorum = count_bits(claim->answered_mask) >= set->quorum;
 
-	if (rival(claim)) {
-		if (over || rival_won(claim) || bits(heard) == set->count ||
-		    (quorum && now >= claim->resend))
+	if (strongest_rival(claim)) {
+		if (timed_out || rival_won(claim) ||
+		    count_bits(replied) == set->count ||
+		    (quorum && now >= claim->resend_at))
 			return end_query_held(claim);
-		return CLAIM_NOTHING;
+		return CLAIM_NO_EVENT;
 	}
 	if (quorum)
 		return end_query_free(claim, now, out);
-	if (claim->expired && lost(claim, claim->refused))
-		return end(claim, CLAIM_ENDED, CLAIM_EXPIRED);
-	if (over || lost(claim, claim->refused))
-		return end(claim, CLAIM_ENDED, CLAIM_NO_QUORUM);
-	return CLAIM_NOTHING;
+	if (claim->expired && quorum_impossible(claim, claim->refused_mask))
+		return end_step(claim, CLAIM_ENDED, CLAIM_EXPIRED);
+	if (timed_out || quorum_impossible(claim, claim->refused_mask))
+		return end_step(claim, CLAIM_ENDED, CLAIM_NO_QUORUM);
+	return CLAIM_NO_EVENT;
 }
 
-static claim_event_t decide_take(claim_t *claim, pimento_usec_t now, bool over,
-				 outbox_t *out)
+static claim_event_t decide_take(claim_t *claim, pimento_usec_t now,
+				 bool timed_out, outbox_t *out)
 {
-	uint32_t heard = claim->answered | claim->refused;
+	uint32_t replied = claim->answered_mask | claim->refused_mask;
 
-	if (agreed(claim))
-		return end(claim, CLAIM_TAKEN, CLAIM_WON);
-	if (over || lost(claim, heard & ~claim->agreed))
-		begin(claim, now, CLAIM_SEALING, out);
-	return CLAIM_NOTHING;
+	if (quorum_agreed(claim))
+		return end_step(claim, CLAIM_TAKEN, CLAIM_WON);
+	if (timed_out ||
+	    quorum_impossible(claim, replied & ~claim->agreed_mask))
+		begin_step(claim, now, CLAIM_SEALING, out);
+	return CLAIM_NO_EVENT;
 }
 
 /*
@@ -387,23 +392,25 @@
  * until the deadline. One that was reported before and could not be resumed is
  * not reported again.
  */
-static claim_event_t judge_seal(claim_t *claim, bool over)
+static claim_event_t evaluate_seal(claim_t *claim, bool timed_out)
 {
-	bool news;
+	bool is_new;
 
-	if (agreed(claim))
-		return CLAIM_GIVEN_UP;
-	if (!over && !rival_won(claim) && !lost(claim, claim->refused))
-		return CLAIM_NOTHING;
-	news = claim->held_seen &&
-	       (!claim->told_held || claim->held.done ||
-		!pimento_reqid_equal(claim->told, claim->held.request));
-	return news ? held_event(claim) : CLAIM_DOUBT;
+	if (quorum_agreed(claim))
+		return CLAIM_NOT_RUN;
+	if (!timed_out && !rival_won(claim) &&
+	    !quorum_impossible(claim, claim->refused_mask))
+		return CLAIM_NO_EVENT;
+	is_new = claim->held_valid &&
+		 (!claim->held_reported || claim->held.done ||
+		  !pimento_reqid_equal(claim->reported_request,
+				       claim->held.request));
+	return is_new ? held_event(claim) : CLAIM_MAY_HAVE_RUN;
 }
 
-static bool all_settled(const claim_t *claim)
+static bool none_pending(const claim_t *claim)
 {
-	return bits(claim->agreed | claim->refused) ==
+	return count_bits(claim->agreed_mask | claim->refused_mask) ==
 	       claim->options.witnesses.count;
 }
 
@@ -411,47 +418,48 @@
  * The verdict is out as soon as it is certain, but what a take left at the
  * other witnesses is still to be withdrawn.
  */
-static claim_event_t decide_seal(claim_t *claim, pimento_usec_t now, bool over)
+static claim_event_t decide_seal(claim_t *claim, pimento_usec_t now,
+				 bool timed_out)
 {
-	claim_event_t event = judge_seal(claim, over);
+	claim_event_t event = evaluate_seal(claim, timed_out);
 
-	if (event == CLAIM_NOTHING)
-		return CLAIM_NOTHING;
-	if (!claim->take_sent || all_settled(claim))
-		return end(claim, CLAIM_ENDED, event);
+	if (event == CLAIM_NO_EVENT)
+		return CLAIM_NO_EVENT;
+	if (!claim->take_sent || none_pending(claim))
+		return end_step(claim, CLAIM_ENDED, event);
 	claim->state = CLAIM_WITHDRAWING;
 	claim->deadline = now + claim->options.timeout;
 	return event;
 }
 
-static claim_event_t decide_rest(claim_t *claim, bool over)
+static claim_event_t decide_cleanup(claim_t *claim, bool timed_out)
 {
-	if (over || all_settled(claim))
-		return end(claim, CLAIM_ENDED, CLAIM_NOTHING);
-	return CLAIM_NOTHING;
+	if (timed_out || none_pending(claim))
+		return end_step(claim, CLAIM_ENDED, CLAIM_NO_EVENT);
+	return CLAIM_NO_EVENT;
 }
 
-static claim_event_t decide(claim_t *claim, pimento_usec_t now, bool over,
+static claim_event_t decide(claim_t *claim, pimento_usec_t now, bool timed_out,
 			    outbox_t *out)
 {
 	switch (claim->state) {
 	case CLAIM_QUERYING:
-		return decide_query(claim, now, over, out);
+		return decide_query(claim, now, timed_out, out);
 	case CLAIM_TAKING:
-		return decide_take(claim, now, over, out);
+		return decide_take(claim, now, timed_out, out);
 	case CLAIM_SEALING:
-		return decide_seal(claim, now, over);
+		return decide_seal(claim, now, timed_out);
 	case CLAIM_WITHDRAWING:
-	case CLAIM_TELLING:
-		return decide_rest(claim, over);
+	case CLAIM_REPORTING:
+		return decide_cleanup(claim, timed_out);
 	default:
-		return CLAIM_NOTHING;
+		return CLAIM_NO_EVENT;
 	}
 }
 
 /*
  * The deadline goes before the reply. An entry that was paused wakes with
- * replies to read that are older than CLAIM_STEP_MAX, and the witnesses count
+ * replies to read that are older than CLAIM_STEP_TIMEOUT_MAX, and the witnesses count
  * on such replies being ignored.
  */
 claim_event_t claim_receive(claim_t *claim, pimento_usec_t now,
@@ -460,11 +468,11 @@
 {
 	int index = witness_index(claim, from, reply);
 
-	if (index < 0 || !waiting(claim))
-		return CLAIM_NOTHING;
+	if (index < 0 || !step_pending(claim))
+		return CLAIM_NO_EVENT;
 	if (now >= claim->deadline)
 		return decide(claim, now, true, out);
-	note(claim, index, reply);
+	record_reply(claim, index, reply);
 	return decide(claim, now, false, out);
 }
 
@@ -472,18 +480,18 @@
 {
 	claim_event_t event;
 
-	if (!waiting(claim) || now < claim_deadline(claim))
-		return CLAIM_NOTHING;
+	if (!step_pending(claim) || now < claim_deadline(claim))
+		return CLAIM_NO_EVENT;
 	event = decide(claim, now, now >= claim->deadline, out);
-	if (waiting(claim) && now >= claim->resend)
-		ask(claim, now, out);
+	if (step_pending(claim) && now >= claim->resend_at)
+		send_requests(claim, now, out);
 	return event;
 }
 
 pimento_usec_t claim_deadline(const claim_t *claim)
 {
-	if (!waiting(claim))
+	if (!step_pending(claim))
 		return PIMENTO_NEVER;
-	return claim->resend < claim->deadline ? claim->resend
-					       : claim->deadline;
+	return claim->resend_at < claim->deadline ? claim->resend_at
+						  : claim->deadline;
 }
--- a/src/endpoint.c
+++ b/src/endpoint.c
@@ -321,7 +321,7 @@
 	summary->token_limit = (uint32_t)e->limit.tokens;
 	for (uint8_t i = 0; i < PIMENTO_TIERS_MAX; i++) {
 		summary->waiting[i] = e->queue.tiers[i].count;
-		summary->wait[i] =
+		summary->wait_ms[i] =
 			(uint32_t)(endpoint_wait(e, now, i) / PIMENTO_MSEC);
 	}
 	summary->waiting_tokens = e->prefilling;
--- a/src/entry.c
+++ b/src/entry.c
@@ -136,7 +136,7 @@
 {
 	return claim && (claim->state == CLAIM_SEALING ||
 			 claim->state == CLAIM_WITHDRAWING ||
-			 claim->state == CLAIM_TELLING);
+			 claim->state == CLAIM_REPORTING);
 }
 
 /*
@@ -232,12 +232,12 @@
 		return PIMENTO_ENOMEM;
 	options.key = entry->key;
 	options.witnesses = *witnesses;
-	options.age = age;
+	options.key_age = age;
 	options.attempt = entry->request.attempt;
 	options.digest = entry->request.digest;
 	options.sequence = table->next_sequence;
 	options.timeout = CLAIM_STEP_TIMEOUT;
-	table->next_sequence += CLAIM_SEQUENCES;
+	table->next_sequence += CLAIM_SEQUENCES_MAX;
 	error = claim_init(entry->claim, &options);
 	if (!error)
 		claim_start(entry->claim, now, table->out);
@@ -320,8 +320,9 @@
 	progress->epoch = entry->epoch;
 	progress->answer_tokens = entry->tokens;
 	if (entry->first_token) {
-		progress->first_token = entry->first_token - entry->sent;
-		progress->decode = entry->last_token - entry->first_token;
+		progress->time_to_first_token =
+			entry->first_token - entry->sent;
+		progress->decode_time = entry->last_token - entry->first_token;
 	}
 	entry->told = now;
 	outbox_put(table->out, entry->owner, &message);
@@ -387,7 +388,7 @@
 static void tell_outcome(entry_table_t *table, pimento_usec_t now,
 			 entry_t *entry, const pimento_event_t *event)
 {
-	message_place_t place = { 0 };
+	message_dispatch_t place = { 0 };
 
 	if (!entry->claim || entry->claim->state != CLAIM_TAKEN)
 		return;
@@ -396,11 +397,11 @@
 	place.digest = entry->request.digest;
 	place.done = 1;
 	place.status = event->status;
-	if (event->answer && event->answer_size <= MESSAGE_ANSWER_MAX) {
+	if (event->answer && event->answer_size <= MESSAGE_ANSWER_BYTES_MAX) {
 		place.answer_size = (uint16_t)event->answer_size;
 		memcpy(place.answer, event->answer, event->answer_size);
 	}
-	claim_done(entry->claim, now, &place, table->out);
+	claim_complete(entry->claim, now, &place, table->out);
 }
 
 static void on_done(entry_table_t *table, pimento_usec_t now, entry_t *entry,
--- a/src/entry_claim.c
+++ b/src/entry_claim.c
@@ -42,7 +42,7 @@
 
 static void take_claim(entry_table_t *table, pimento_usec_t now, entry_t *entry)
 {
-	message_place_t place = { 0 };
+	message_dispatch_t place = { 0 };
 
 	place.request = entry->id;
 	place.endpoint = entry->endpoint;
@@ -63,14 +63,14 @@
 	 * stays ours and only names another place. If the query is still out,
 	 * its event comes back here.
 	 */
-	if (entry->claim->state == CLAIM_KNOWN ||
+	if (entry->claim->state == CLAIM_AVAILABLE ||
 	    entry->claim->state == CLAIM_TAKEN)
 		take_claim(table, now, entry);
 }
 
 static void replay(entry_table_t *table, entry_t *entry)
 {
-	const message_place_t *held = &entry->claim->held;
+	const message_dispatch_t *held = &entry->claim->held;
 	pimento_action_t action = { .kind = PIMENTO_ACTION_REPLAY };
 
 	action.request = entry_handle(table, entry);
@@ -96,7 +96,7 @@
 static void held_by_other(entry_table_t *table, pimento_usec_t now,
 			  entry_t *entry)
 {
-	const message_place_t *held = &entry->claim->held;
+	const message_dispatch_t *held = &entry->claim->held;
 
 	entry_release(table, entry, RELEASE_UNUSED);
 	if (held->done && held->answer_size) {
@@ -148,7 +148,7 @@
 	int error = entry->give_up;
 
 	switch (event) {
-	case CLAIM_NOTHING:
+	case CLAIM_NO_EVENT:
 		return;
 	case CLAIM_FREE:
 		claim_free(table, now, entry);
@@ -159,7 +159,7 @@
 	case CLAIM_HELD:
 		held_by_other(table, now, entry);
 		return;
-	case CLAIM_GIVEN_UP:
+	case CLAIM_NOT_RUN:
 		entry_release(table, entry, RELEASE_UNUSED);
 		entry_refuse(table, entry, PIMENTO_NOT_RUN,
 			     error ? error : PIMENTO_ESEALED,
@@ -179,7 +179,7 @@
 		entry_refuse(table, entry, PIMENTO_MAY_HAVE_RUN,
 			     PIMENTO_EEXPIRED, 0);
 		return;
-	case CLAIM_DOUBT:
+	case CLAIM_MAY_HAVE_RUN:
 	case CLAIM_NO_QUORUM:
 	default:
 		entry_release(table, entry, RELEASE_UNUSED);
@@ -193,7 +193,7 @@
 static void ask_again(entry_table_t *table, pimento_usec_t now, entry_t *entry)
 {
 	witness_set_t witnesses = entry->claim->options.witnesses;
-	pimento_usec_t age = entry->claim->options.age;
+	pimento_usec_t age = entry->claim->options.key_age;
 
 	if (now >= entry->deadline) {
 		entry_give_up(table, now, entry, PIMENTO_ECLAIMED, 0);
--- a/src/entry_reserve.c
+++ b/src/entry_reserve.c
@@ -40,10 +40,10 @@
 	reserve->account = entry->request.account;
 	reserve->tier = entry->request.tier;
 	reserve->hops = entry->hops;
-	reserve->patience = entry->deadline - now;
+	reserve->time_left = entry->deadline - now;
 	reserve->prompt_tokens = entry->request.prompt_tokens;
 	reserve->answer_tokens = entry->request.answer_tokens;
-	reserve->prefix = entry->request.prefix;
+	reserve->prefix_hash = entry->request.prefix;
 	entry->asked = now;
 	outbox_put(table->out, entry->owner, &message);
 }
@@ -184,10 +184,10 @@
 	release->prompt_tokens = entry->request.prompt_tokens;
 	release->answer_tokens = entry->tokens;
 	if (entry->first_token) {
-		release->first_token = entry->first_token - entry->sent;
-		release->decode = entry->last_token - entry->first_token;
+		release->time_to_first_token = entry->first_token - entry->sent;
+		release->decode_time = entry->last_token - entry->first_token;
 	} else {
-		release->decode = entry->whole;
+		release->decode_time = entry->whole;
 	}
 	outbox_put(table->out, entry->owner, &message);
 	entry->owner = 0;
--- a/src/host.c
+++ b/src/host.c
@@ -84,7 +84,7 @@
 				      .capacity = o->keys_max,
 				      .retention = RETENTION_DEFAULT,
 				      .started = now,
-				      .skew = o->skew };
+				      .clock_skew_max = o->skew };
 	entry_options_t entry = { .self = host->self,
 				  .incarnation = o->incarnation,
 				  .requests_max = o->requests_max };
@@ -313,7 +313,7 @@
 	hostlist_finish(&host->hosts);
 	host->hosts = list;
 	member_publish(&host->member, now, &host->hosts);
-	witness_view(&host->witness, now, &host->hosts, host->self);
+	witness_adopt_hostlist(&host->witness, now, &host->hosts, host->self);
 	host->hosts_changed = true;
 	assign_owners(host, now);
 	return PIMENTO_OK;
@@ -322,8 +322,8 @@
 /* Judges whatever text the spread has complete. */
 static int take_pending(pimento_host_t *host, pimento_usec_t now)
 {
-	static const spread_subject_t subjects[] = { SPREAD_HOSTS,
-						     SPREAD_CONFIG };
+	static const config_sync_subject_t subjects[] = { CONFIG_SYNC_HOSTS,
+							  CONFIG_SYNC_CONFIG };
 	int result = PIMENTO_OK;
 
 	for (size_t i = 0; i < sizeof(subjects) / sizeof(subjects[0]); i++) {
@@ -335,7 +335,7 @@
 
 		if (!text)
 			continue;
-		error = subjects[i] == SPREAD_HOSTS
+		error = subjects[i] == CONFIG_SYNC_HOSTS
 				? take_hosts(host, now, revision, text, length)
 				: take_config(host, now, revision, text,
 					      length);
@@ -343,16 +343,18 @@
 		if (error)
 			result = error;
 	}
-	host->member.revision = spread_revision(&host->spread, SPREAD_CONFIG);
+	host->member.revision =
+		spread_revision(&host->spread, CONFIG_SYNC_CONFIG);
 	host->member.hosts_revision =
-		spread_revision(&host->spread, SPREAD_HOSTS);
+		spread_revision(&host->spread, CONFIG_SYNC_HOSTS);
 	return result;
 }
 
 int pimento_host_read(pimento_host_t *host, pimento_usec_t now, bool hosts,
 		      uint64_t revision, const char *text, size_t length)
 {
-	spread_subject_t subject = hosts ? SPREAD_HOSTS : SPREAD_CONFIG;
+	config_sync_subject_t subject =
+		hosts ? CONFIG_SYNC_HOSTS : CONFIG_SYNC_CONFIG;
 	int error = spread_read(&host->spread, now, subject, revision, text,
 				length);
 
@@ -389,13 +391,13 @@
 	int64_t birth = -1;
 	int error;
 
-	*key = keyring_hash(request->account, request->key);
-	if (keyring_issued(request->key))
-		error = keyring_read(host->options.secret, request->key,
-				     witnesses, &birth);
+	*key = idem_key_hash(request->account, request->key);
+	if (idem_key_is_issued(request->key))
+		error = idem_key_parse(host->options.secret, request->key,
+				       witnesses, &birth);
 	else
-		error = keyring_own(request->key, *key, &host->hosts, witnesses,
-				    &birth);
+		error = idem_key_select_witnesses(
+			request->key, *key, &host->hosts, witnesses, &birth);
 	*age = birth < 0 ? -1 : (request->wall_msec - birth) * PIMENTO_MSEC;
 	return error;
 }
@@ -483,9 +485,9 @@
 		return PIMENTO_OK;
 	case MESSAGE_PROBE:
 	case MESSAGE_ACK:
-		spread_heard(&host->spread, now, from, SPREAD_CONFIG,
+		spread_heard(&host->spread, now, from, CONFIG_SYNC_CONFIG,
 			     message->u.probe.revision);
-		spread_heard(&host->spread, now, from, SPREAD_HOSTS,
+		spread_heard(&host->spread, now, from, CONFIG_SYNC_HOSTS,
 			     message->u.probe.hosts_revision);
 		return member_receive(&host->member, now, from, message);
 	case MESSAGE_OFFER:
@@ -715,8 +717,8 @@
 	choose_witnesses(host, start, &set);
 	if (!enough_witnesses(host, &set))
 		return PIMENTO_ENOQUORUM;
-	return keyring_issue(host->options.secret, &set, wall_msec, nonce,
-			     text);
+	return idem_key_issue(host->options.secret, &set, wall_msec, nonce,
+			      text);
 }
 
 bool pimento_host_ready(const pimento_host_t *host, pimento_usec_t now)
--- a/src/keyring.c
+++ b/src/idem_key.c
@@ -18,21 +18,23 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define PREFIX "pk1."
-#define PREFIX_LENGTH (sizeof(PREFIX) - 1)
+#define ISSUED_PREFIX "pk1."
+#define ISSUED_PREFIX_LENGTH (sizeof(ISSUED_PREFIX) - 1)
 #define MAC_SIZE 16
-#define HEAD_SIZE 18 /* count, quorum, birth, nonce */
-#define WITNESS_SIZE 16
-#define PAYLOAD_MAX (HEAD_SIZE + PIMENTO_WITNESSES_MAX * WITNESS_SIZE)
-#define ENCODING sodium_base64_VARIANT_URLSAFE_NO_PADDING
+#define PAYLOAD_HEADER_SIZE 18 /* count, quorum, created_ms, nonce */
+#define PAYLOAD_WITNESS_SIZE 16
+#define PAYLOAD_SIZE_MAX \
+	(PAYLOAD_HEADER_SIZE + PIMENTO_WITNESSES_MAX * PAYLOAD_WITNESS_SIZE)
+#define BASE64_VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
 
-#define OWN_WITNESSES 5
-#define OWN_WITNESSES_MIN 3
-#define OWN_DIFFERENCE 2 /* d: hosts in which two sets may differ */
+#define CLIENT_KEY_WITNESSES 5
+#define CLIENT_KEY_WITNESSES_MIN 3
+#define CLIENT_KEY_HOSTS_DIFFER_MAX \
+	2 /* d: hosts in which two sets may differ */
 
 #define UUID_LENGTH 36
 
-static uint8_t *put64(uint8_t *at, uint64_t value)
+static uint8_t *put_be64(uint8_t *at, uint64_t value)
 {
 	for (int i = 7; i >= 0; i--) {
 		at[i] = (uint8_t)value;
@@ -41,7 +43,7 @@
 	return at + 8;
 }
 
-static const uint8_t *get64(const uint8_t *at, uint64_t *value)
+static const uint8_t *get_be64(const uint8_t *at, uint64_t *value)
 {
 	*value = 0;
 	for (int i = 0; i < 8; i++)
@@ -49,15 +51,15 @@
 	return at + 8;
 }
 
-static void authenticate(const uint8_t secret[KEYRING_SECRET],
-			 const uint8_t *payload, size_t size,
-			 uint8_t mac[MAC_SIZE])
+static void compute_mac(const uint8_t secret[IDEM_KEY_SECRET_BYTES],
+			const uint8_t *payload, size_t size,
+			uint8_t mac[MAC_SIZE])
 {
 	crypto_generichash(mac, MAC_SIZE, payload, size, secret,
-			   KEYRING_SECRET);
+			   IDEM_KEY_SECRET_BYTES);
 }
 
-static bool set_valid(const witness_set_t *set)
+static bool witness_set_valid(const witness_set_t *set)
 {
 	if (set->count < 1 || set->count > PIMENTO_WITNESSES_MAX)
 		return false;
@@ -70,40 +72,40 @@
 	return true;
 }
 
-int keyring_issue(const uint8_t secret[KEYRING_SECRET],
-		  const witness_set_t *witnesses, int64_t birth, uint64_t nonce,
-		  char text[KEYRING_TEXT_MAX])
+int idem_key_issue(const uint8_t secret[IDEM_KEY_SECRET_BYTES],
+		   const witness_set_t *witnesses, int64_t created_ms,
+		   uint64_t nonce, char text[IDEM_KEY_TEXT_MAX])
 {
-	uint8_t bytes[PAYLOAD_MAX + MAC_SIZE];
+	uint8_t bytes[PAYLOAD_SIZE_MAX + MAC_SIZE];
 	uint8_t *at = bytes;
 	size_t size;
 
-	if (!set_valid(witnesses) || birth < 0)
+	if (!witness_set_valid(witnesses) || created_ms < 0)
 		return PIMENTO_EINVAL;
 	*at++ = (uint8_t)witnesses->count;
 	*at++ = (uint8_t)witnesses->quorum;
-	at = put64(at, (uint64_t)birth);
-	at = put64(at, nonce);
+	at = put_be64(at, (uint64_t)created_ms);
+	at = put_be64(at, nonce);
 	for (uint32_t i = 0; i < witnesses->count; i++) {
-		at = put64(at, witnesses->hosts[i]);
-		at = put64(at, witnesses->incarnations[i]);
+		at = put_be64(at, witnesses->hosts[i]);
+		at = put_be64(at, witnesses->incarnations[i]);
 	}
 	size = (size_t)(at - bytes);
-	authenticate(secret, bytes, size, at);
-	memcpy(text, PREFIX, PREFIX_LENGTH);
-	sodium_bin2base64(text + PREFIX_LENGTH,
-			  KEYRING_TEXT_MAX - PREFIX_LENGTH, bytes,
-			  size + MAC_SIZE, ENCODING);
+	compute_mac(secret, bytes, size, at);
+	memcpy(text, ISSUED_PREFIX, ISSUED_PREFIX_LENGTH);
+	sodium_bin2base64(text + ISSUED_PREFIX_LENGTH,
+			  IDEM_KEY_TEXT_MAX - ISSUED_PREFIX_LENGTH, bytes,
+			  size + MAC_SIZE, BASE64_VARIANT);
 	return (int)strlen(text);
 }
 
-bool keyring_issued(const char *text)
+bool idem_key_is_issued(const char *text)
 {
-	return !strncmp(text, PREFIX, PREFIX_LENGTH);
+	return !strncmp(text, ISSUED_PREFIX, ISSUED_PREFIX_LENGTH);
 }
 
-static int read_payload(const uint8_t *at, size_t size,
-			witness_set_t *witnesses, int64_t *birth)
+static int parse_payload(const uint8_t *at, size_t size,
+			 witness_set_t *witnesses, int64_t *created_ms)
 {
 	uint64_t value;
 	uint64_t nonce;
@@ -112,40 +114,43 @@
 	witnesses->count = *at++;
 	witnesses->quorum = *at++;
 	if (witnesses->count > PIMENTO_WITNESSES_MAX ||
-	    size != HEAD_SIZE + (size_t)witnesses->count * WITNESS_SIZE)
+	    size != PAYLOAD_HEADER_SIZE +
+			    (size_t)witnesses->count * PAYLOAD_WITNESS_SIZE)
 		return PIMENTO_EPARSE;
-	at = get64(at, &value);
-	*birth = (int64_t)value;
-	at = get64(at, &nonce);
+	at = get_be64(at, &value);
+	*created_ms = (int64_t)value;
+	at = get_be64(at, &nonce);
 	for (uint32_t i = 0; i < witnesses->count; i++) {
-		at = get64(at, &witnesses->hosts[i]);
-		at = get64(at, &witnesses->incarnations[i]);
+		at = get_be64(at, &witnesses->hosts[i]);
+		at = get_be64(at, &witnesses->incarnations[i]);
 	}
-	return set_valid(witnesses) && *birth >= 0 ? PIMENTO_OK
-						   : PIMENTO_EPARSE;
+	return witness_set_valid(witnesses) && *created_ms >= 0
+		       ? PIMENTO_OK
+		       : PIMENTO_EPARSE;
 }
 
-int keyring_read(const uint8_t secret[KEYRING_SECRET], const char *text,
-		 witness_set_t *witnesses, int64_t *birth)
+int idem_key_parse(const uint8_t secret[IDEM_KEY_SECRET_BYTES],
+		   const char *text, witness_set_t *witnesses,
+		   int64_t *created_ms)
 {
-	uint8_t bytes[PAYLOAD_MAX + MAC_SIZE];
+	uint8_t bytes[PAYLOAD_SIZE_MAX + MAC_SIZE];
 	uint8_t mac[MAC_SIZE];
 	size_t length = strlen(text);
 	size_t size;
 
-	if (!keyring_issued(text) || length >= KEYRING_TEXT_MAX)
+	if (!idem_key_is_issued(text) || length >= IDEM_KEY_TEXT_MAX)
 		return PIMENTO_EPARSE;
-	if (sodium_base642bin(bytes, sizeof(bytes), text + PREFIX_LENGTH,
-			      length - PREFIX_LENGTH, NULL, &size, NULL,
-			      ENCODING) != 0)
+	if (sodium_base642bin(bytes, sizeof(bytes), text + ISSUED_PREFIX_LENGTH,
+			      length - ISSUED_PREFIX_LENGTH, NULL, &size, NULL,
+			      BASE64_VARIANT) != 0)
 		return PIMENTO_EPARSE;
-	if (size < HEAD_SIZE + MAC_SIZE)
+	if (size < PAYLOAD_HEADER_SIZE + MAC_SIZE)
 		return PIMENTO_EPARSE;
 	size -= MAC_SIZE;
-	authenticate(secret, bytes, size, mac);
+	compute_mac(secret, bytes, size, mac);
 	if (sodium_memcmp(mac, bytes + size, MAC_SIZE) != 0)
 		return PIMENTO_EAUTH;
-	return read_payload(bytes, size, witnesses, birth);
+	return parse_payload(bytes, size, witnesses, created_ms);
 }
 
 static int compare_ids(const void *left, const void *right)
@@ -156,8 +161,8 @@
 	return (a > b) - (a < b);
 }
 
-uint32_t keyring_hosts(const hostlist_t *list, pimento_id_t *hosts,
-		       uint32_t max)
+uint32_t idem_key_eligible_hosts(const hostlist_t *list, pimento_id_t *hosts,
+				 uint32_t max)
 {
 	uint32_t count = 0;
 
@@ -171,7 +176,7 @@
 	return count;
 }
 
-static uint64_t score(pimento_key_t key, pimento_id_t host)
+static uint64_t rendezvous_score(pimento_key_t key, pimento_id_t host)
 {
 	uint64_t words[3] = { key.hi, key.lo, host };
 
@@ -179,17 +184,17 @@
 }
 
 /* Puts host into its place among the best; equal scores go by identity. */
-static void rank_host(witness_set_t *set, uint64_t *scores, pimento_id_t host,
-		      uint64_t value)
+static void insert_by_score(witness_set_t *set, uint64_t *scores,
+			    pimento_id_t host, uint64_t value)
 {
 	uint32_t at = set->count;
 
 	while (at && (scores[at - 1] < value ||
 		      (scores[at - 1] == value && set->hosts[at - 1] > host)))
 		at--;
-	if (at == OWN_WITNESSES)
+	if (at == CLIENT_KEY_WITNESSES)
 		return;
-	if (set->count < OWN_WITNESSES)
+	if (set->count < CLIENT_KEY_WITNESSES)
 		set->count++;
 	for (uint32_t i = set->count - 1; i > at; i--) {
 		set->hosts[i] = set->hosts[i - 1];
@@ -199,23 +204,25 @@
 	scores[at] = value;
 }
 
-int keyring_rendezvous(const pimento_id_t *hosts, uint32_t count,
-		       pimento_key_t key, witness_set_t *witnesses)
+int idem_key_rendezvous(const pimento_id_t *hosts, uint32_t count,
+			pimento_key_t key, witness_set_t *witnesses)
 {
-	uint64_t scores[OWN_WITNESSES] = { 0 };
+	uint64_t scores[CLIENT_KEY_WITNESSES] = { 0 };
 
 	memset(witnesses, 0, sizeof(*witnesses));
 	for (uint32_t i = 0; i < count; i++)
-		rank_host(witnesses, scores, hosts[i], score(key, hosts[i]));
-	if (witnesses->count < OWN_WITNESSES_MIN)
+		insert_by_score(witnesses, scores, hosts[i],
+				rendezvous_score(key, hosts[i]));
+	if (witnesses->count < CLIENT_KEY_WITNESSES_MIN)
 		return PIMENTO_ENOQUORUM;
-	witnesses->quorum = (witnesses->count + OWN_DIFFERENCE) / 2 + 1;
+	witnesses->quorum =
+		(witnesses->count + CLIENT_KEY_HOSTS_DIFFER_MAX) / 2 + 1;
 	if (witnesses->quorum > witnesses->count)
 		witnesses->quorum = witnesses->count;
-	witnesses->view = XXH3_64bits(witnesses->hosts,
-				      witnesses->count * sizeof(pimento_id_t));
-	if (!witnesses->view)
-		witnesses->view = 1;
+	witnesses->set_hash = XXH3_64bits(
+		witnesses->hosts, witnesses->count * sizeof(pimento_id_t));
+	if (!witnesses->set_hash)
+		witnesses->set_hash = 1;
 	return PIMENTO_OK;
 }
 
@@ -231,11 +238,11 @@
 }
 
 /* The milliseconds of a UUID version 7 (RFC 9562), else -1. */
-static int64_t uuid_birth(const char *text)
+static int64_t uuid7_time_ms(const char *text)
 {
 	uint8_t digits[32];
 	uint32_t count = 0;
-	int64_t birth = 0;
+	int64_t created_ms = 0;
 
 	if (strlen(text) != UUID_LENGTH)
 		return -1;
@@ -253,28 +260,29 @@
 	if (digits[12] != 7 || (digits[16] & 12) != 8)
 		return -1;
 	for (int i = 0; i < 12; i++)
-		birth = birth << 4 | digits[i];
-	return birth;
+		created_ms = created_ms << 4 | digits[i];
+	return created_ms;
 }
 
-int keyring_own(const char *text, pimento_key_t key, const hostlist_t *list,
-		witness_set_t *witnesses, int64_t *birth)
+int idem_key_select_witnesses(const char *text, pimento_key_t key,
+			      const hostlist_t *list, witness_set_t *witnesses,
+			      int64_t *created_ms)
 {
 	pimento_id_t *hosts = malloc((list->count + 1) * sizeof(*hosts));
 	uint32_t count;
 	int error;
 
-	*birth = uuid_birth(text);
+	*created_ms = uuid7_time_ms(text);
 	memset(witnesses, 0, sizeof(*witnesses));
 	if (!hosts)
 		return PIMENTO_ENOMEM;
-	count = keyring_hosts(list, hosts, list->count);
-	error = keyring_rendezvous(hosts, count, key, witnesses);
+	count = idem_key_eligible_hosts(list, hosts, list->count);
+	error = idem_key_rendezvous(hosts, count, key, witnesses);
 	free(hosts);
 	return error;
 }
 
-pimento_key_t keyring_hash(pimento_id_t account, const char *text)
+pimento_key_t idem_key_hash(pimento_id_t account, const char *text)
 {
 	XXH128_hash_t hash = XXH3_128bits_withSeed(text, strlen(text), account);
 	pimento_key_t key = { hash.high64, hash.low64 };
--- a/src/message.c
+++ b/src/message.c
@@ -36,14 +36,14 @@
 	return offsetof(message_t, u) + kinds[kind].size;
 }
 
-const char *message_name(message_kind_t kind)
+const char *message_kind_name(message_kind_t kind)
 {
 	if ((unsigned)kind >= MESSAGE_KINDS)
 		return "unknown";
 	return kinds[kind].name;
 }
 
-static uint32_t round_up(uint32_t n)
+static uint32_t round_up_pow2(uint32_t n)
 {
 	uint32_t power = 1;
 
@@ -55,7 +55,7 @@
 int outbox_init(outbox_t *outbox, uint32_t capacity)
 {
 	memset(outbox, 0, sizeof(*outbox));
-	outbox->capacity = round_up(capacity);
+	outbox->capacity = round_up_pow2(capacity);
 	outbox->entries = calloc(outbox->capacity, sizeof(*outbox->entries));
 	return outbox->entries ? PIMENTO_OK : PIMENTO_ENOMEM;
 }
--- a/src/message.h
+++ b/src/message.h
@@ -12,8 +12,8 @@
 
 #define MESSAGE_SUMMARIES_MAX 16
 #define MESSAGE_FACTS_MAX 48
-#define MESSAGE_PART_MAX 16384
-#define MESSAGE_ANSWER_MAX 4096
+#define MESSAGE_PART_BYTES_MAX 16384
+#define MESSAGE_ANSWER_BYTES_MAX 4096
 #define MESSAGE_STREAM_MAX 64
 
 typedef enum message_kind {
@@ -44,7 +44,7 @@
 	uint32_t running_tokens; /* tokens still to be made in flight */
 	uint32_t token_limit;
 	uint32_t waiting[PIMENTO_TIERS_MAX]; /* waiting requests by tier */
-	uint32_t wait[PIMENTO_TIERS_MAX]; /* ms until one more is granted */
+	uint32_t wait_ms[PIMENTO_TIERS_MAX]; /* ms until one more is granted */
 	uint32_t waiting_tokens; /* of prompts granted and not yet read */
 	float prefill_rate; /* prompt tokens a second, 0 unknown */
 	float decode_rate; /* tokens a second of one stream, 0 unknown */
@@ -59,10 +59,10 @@
 	pimento_id_t account;
 	uint8_t tier; /* 0 is the most urgent */
 	uint8_t hops; /* owners that passed it on so far */
-	pimento_usec_t patience; /* span until the caller stops caring */
+	pimento_usec_t time_left; /* span until the caller stops caring */
 	uint32_t prompt_tokens;
 	uint32_t answer_tokens; /* estimate */
-	uint64_t prefix; /* hash of the prompt's beginning, 0 none */
+	uint64_t prefix_hash; /* hash of the prompt's beginning, 0 none */
 } message_reserve_t;
 
 /* Owner to entry: dispatch now; good for one dispatch, for a short span. */
@@ -77,7 +77,7 @@
 typedef struct message_wait {
 	pimento_reqid_t request;
 	uint32_t round;
-	pimento_usec_t expected; /* span until the expected grant */
+	pimento_usec_t expected_wait; /* span until the expected grant */
 	message_summary_t summary;
 } message_wait_t;
 
@@ -87,7 +87,7 @@
 	uint32_t round;
 	int32_t reason; /* PIMENTO_ELATE, _EBUSY, _ELEAVING, _ESTALE ... */
 	pimento_usec_t retry_after;
-	pimento_id_t elsewhere; /* endpoint to try instead, 0 none */
+	pimento_id_t alternative_endpoint; /* endpoint to try instead, 0 none */
 	message_summary_t summary;
 } message_refuse_t;
 
@@ -107,9 +107,9 @@
 	uint8_t outcome; /* release_outcome_t */
 	uint32_t prompt_tokens;
 	uint32_t answer_tokens; /* made in fact */
-	pimento_usec_t first_token; /* span from dispatch, 0 unknown */
+	pimento_usec_t time_to_first_token; /* span from dispatch, 0 unknown */
 	pimento_usec_t
-		decode; /* from first to last token; of all if no first */
+		decode_time; /* from first to last token; of all if no first */
 } message_release_t;
 
 /* Entry to owner: the slot is still in use. Missing ones free the slot. */
@@ -119,8 +119,8 @@
 	pimento_id_t endpoint;
 	uint64_t epoch;
 	uint32_t answer_tokens;
-	pimento_usec_t first_token;
-	pimento_usec_t decode;
+	pimento_usec_t time_to_first_token;
+	pimento_usec_t decode_time;
 } message_progress_t;
 
 /* Owner to all it talks to: what it knows of some of its endpoints. */
@@ -137,15 +137,15 @@
 } claim_op_t;
 
 /* Where a claimed request runs, and what a repeat needs to resume it. */
-typedef struct message_place {
+typedef struct message_dispatch {
 	pimento_reqid_t request; /* the dispatch's id at the endpoint */
 	pimento_id_t endpoint;
 	uint64_t digest; /* of the body: the same key with another is refused */
 	uint8_t done; /* the outcome below is final */
 	uint16_t status; /* HTTP status of the answer, when done */
-	uint16_t answer_size; /* up to MESSAGE_ANSWER_MAX; 0 none kept */
-	uint8_t answer[MESSAGE_ANSWER_MAX];
-} message_place_t;
+	uint16_t answer_size; /* up to MESSAGE_ANSWER_BYTES_MAX; 0 none kept */
+	uint8_t answer[MESSAGE_ANSWER_BYTES_MAX];
+} message_dispatch_t;
 
 /* Entry to witness. */
 typedef struct message_claim {
@@ -153,10 +153,11 @@
 	pimento_key_t key;
 	uint64_t sequence; /* names this question; the reply repeats it */
 	uint64_t incarnation; /* the witness's, as the key names it; 0 any */
-	uint64_t view; /* hash of the witness set, callers' own keys; or 0 */
-	pimento_usec_t age; /* of the key since its birth, -1 unknown */
+	uint64_t
+		witness_set_hash; /* hash of the witness set, callers' own keys; or 0 */
+	pimento_usec_t key_age; /* of the key since its birth, -1 unknown */
 	uint32_t attempt; /* from 1 */
-	message_place_t place;
+	message_dispatch_t dispatch;
 } message_claim_t;
 
 /* Witness to entry. */
@@ -164,10 +165,10 @@
 	pimento_key_t key;
 	uint64_t sequence;
 	uint64_t incarnation; /* the witness's own */
-	int32_t answer; /* PIMENTO_OK, _ECLAIMED, _ESEALED, _ESTALE, ... */
+	int32_t result; /* PIMENTO_OK, _ECLAIMED, _ESEALED, _ESTALE, ... */
 	uint32_t sealed; /* highest sealed attempt, 0 none */
 	uint32_t attempt; /* of the claim held, 0 none */
-	message_place_t place; /* of the claim held */
+	message_dispatch_t dispatch; /* of the claim held */
 } message_witness_t;
 
 typedef enum host_state {
@@ -184,7 +185,7 @@
 	uint64_t incarnation;
 	uint32_t version; /* raised by the subject to refute a suspicion */
 	uint8_t state; /* host_state_t */
-	uint8_t endpoint; /* 1: the subject is an endpoint, not an entry host */
+	uint8_t is_endpoint; /* 1: the subject is an endpoint, not an entry host */
 } message_fact_t;
 
 /*
@@ -201,14 +202,14 @@
 	message_fact_t facts[MESSAGE_FACTS_MAX];
 } message_probe_t;
 
-typedef enum spread_subject {
-	SPREAD_CONFIG = 1,
-	SPREAD_HOSTS
-} spread_subject_t;
+typedef enum config_sync_subject {
+	CONFIG_SYNC_CONFIG = 1,
+	CONFIG_SYNC_HOSTS
+} config_sync_subject_t;
 
 /* "I hold this revision": answered by a pull from who holds less. */
 typedef struct message_offer {
-	uint8_t subject; /* spread_subject_t */
+	uint8_t subject; /* config_sync_subject_t */
 	uint64_t revision;
 	uint64_t digest; /* hash of the whole text */
 	uint32_t size;
@@ -229,7 +230,7 @@
 	uint32_t size; /* of all parts together */
 	uint32_t offset;
 	uint32_t length;
-	uint8_t bytes[MESSAGE_PART_MAX];
+	uint8_t bytes[MESSAGE_PART_BYTES_MAX];
 } message_part_t;
 
 typedef struct message {
@@ -282,6 +283,6 @@
 size_t message_size(message_kind_t kind);
 
 /* Lower-case name of the kind, for logs; never NULL. */
-const char *message_name(message_kind_t kind);
+const char *message_kind_name(message_kind_t kind);
 
 #endif
--- a/src/owner.c
+++ b/src/owner.c
@@ -92,7 +92,7 @@
 
 	m.u.wait.request = r->asked.request;
 	m.u.wait.round = r->asked.round;
-	m.u.wait.expected = endpoint_wait(r->endpoint, now, r->item.tier);
+	m.u.wait.expected_wait = endpoint_wait(r->endpoint, now, r->item.tier);
 	endpoint_summary(r->endpoint, now, &m.u.wait.summary);
 	outbox_put(owner->out, r->entry, &m);
 }
@@ -161,7 +161,8 @@
 	refuse->reason = reason;
 	refuse->retry_after = retry_after(owner, now, e, asked->tier);
 	if (e) {
-		refuse->elsewhere = elsewhere(owner, now, e, asked->tier);
+		refuse->alternative_endpoint =
+			elsewhere(owner, now, e, asked->tier);
 		endpoint_summary(e, now, &refuse->summary);
 	}
 	outbox_put(owner->out, to, &m);
@@ -299,7 +300,7 @@
 {
 	pimento_usec_t service = endpoint_service(r->endpoint, &r->asked);
 
-	if (service < GIVE_UP_SPAN && r->asked.patience > 2 * GIVE_UP_SPAN)
+	if (service < GIVE_UP_SPAN && r->asked.time_left > 2 * GIVE_UP_SPAN)
 		service = GIVE_UP_SPAN;
 	return r->item.deadline - service;
 }
@@ -319,7 +320,7 @@
 	r->state = RESERVATION_WAITING;
 	r->item.tier = asked->tier;
 	r->item.account = asked->account;
-	r->item.deadline = now + asked->patience;
+	r->item.deadline = now + asked->time_left;
 	r->item.work = endpoint_work(e, asked);
 	r->due = latest_start(r);
 	if (heap_put(&owner->due, r, r->due) ||
@@ -348,7 +349,7 @@
 	service = endpoint_service(e, asked);
 	if (endpoint_measured(e) &&
 	    (double)wait * WAIT_MARGIN + (double)service >
-		    (double)asked->patience)
+		    (double)asked->time_left)
 		return PIMENTO_ELATE;
 	return 0;
 }
@@ -455,12 +456,14 @@
 	load = endpoint_load(e);
 	if (r->state != RESERVATION_WAITING &&
 	    said->outcome != RELEASE_UNUSED) {
-		learn(r, now, said->answer_tokens, said->first_token,
-		      said->decode);
+		learn(r, now, said->answer_tokens, said->time_to_first_token,
+		      said->decode_time);
 		if (e->description.target == CONFIG_TARGET_SERVICE &&
-		    said->first_token > 0)
+		    said->time_to_first_token > 0)
 			limit_served(&e->limit, now,
-				     said->first_token + said->decode, &load);
+				     said->time_to_first_token +
+					     said->decode_time,
+				     &load);
 	}
 	if (said->outcome == RELEASE_FAILED)
 		limit_failed(&e->limit, now);
@@ -489,9 +492,9 @@
 	r->entry = from;
 	r->endpoint = e;
 	r->state = RESERVATION_RUNNING;
-	r->first_token = said->first_token > 0;
+	r->first_token = said->time_to_first_token > 0;
 	r->answered = said->answer_tokens;
-	r->decode = said->decode;
+	r->decode = said->decode_time;
 	r->due = now + OWNER_LEASE;
 	if (heap_put(&owner->due, r, r->due)) {
 		reservation_remove(&owner->reservations, r);
@@ -512,9 +515,10 @@
 	}
 	if (r->state == RESERVATION_WAITING || said->round != r->asked.round)
 		return;
-	learn(r, now, said->answer_tokens, said->first_token, said->decode);
+	learn(r, now, said->answer_tokens, said->time_to_first_token,
+	      said->decode_time);
 	r->state = RESERVATION_RUNNING;
-	if (said->first_token > 0)
+	if (said->time_to_first_token > 0)
 		endpoint_read(r->endpoint, r);
 	else
 		endpoint_silent(r->endpoint, now, r);
--- a/src/packet.h
+++ b/src/packet.h
@@ -11,47 +11,47 @@
 #include "roster.h"
 
 /* Bytes of an encoded packet, below the least MTU in use. */
-#define PACKET_BYTES 1400
+#define PACKET_BYTES_MAX 1400
 
 typedef enum packet_kind {
-	PACKET_NOTE,
-	PACKET_ASK,
-	PACKET_REPLY,
-	PACKET_RELEASE,
-	PACKET_REPORT,
+	PACKET_GOSSIP,
+	PACKET_SLOT_REQUEST,
+	PACKET_SLOT_REPLY,
+	PACKET_SLOT_RELEASE,
+	PACKET_RUNNING_REPORT,
 	PACKET_QUOTA
 } packet_kind_t;
 
-typedef struct packet_reply {
+typedef struct packet_slot_reply {
 	uint32_t endpoint;
 	uint64_t ticket;
 	bool granted;
-	directory_word_t word;
-} packet_reply_t;
+	directory_word_t report;
+} packet_slot_reply_t;
 
-typedef struct packet_release {
+typedef struct packet_slot_release {
 	uint32_t endpoint;
 	uint32_t address;
 	uint64_t ticket;
 	uint32_t gap_us; /* mean that the request has seen; 0 none */
-	pace_finding_t finding;
-} packet_release_t;
+	pace_finding_t outcome;
+} packet_slot_release_t;
 
 /* What a host has in flight at an endpoint, for the endpoint's owner. */
-typedef struct packet_report {
+typedef struct packet_running_report {
 	uint32_t endpoint;
 	uint32_t address;
 	uint32_t running;
-} packet_report_t;
+} packet_running_report_t;
 
 typedef struct packet {
 	packet_kind_t kind;
 	union {
-		roster_note_t note;
-		grants_ask_t ask;
-		packet_reply_t reply;
-		packet_release_t release;
-		packet_report_t report;
+		roster_note_t gossip;
+		grants_ask_t slot_request;
+		packet_slot_reply_t slot_reply;
+		packet_slot_release_t slot_release;
+		packet_running_report_t running_report;
 		quota_message_t quota;
 	} as;
 } packet_t;
--- a/src/route.c
+++ b/src/route.c
@@ -315,7 +315,7 @@
 /* Seconds until it is granted, as the owner said, and what was sent since. */
 static double line(const route_query_t *query, const route_endpoint_t *e)
 {
-	return e->summary.wait[query->tier] / 1000.0 + e->sent;
+	return e->summary.wait_ms[query->tier] / 1000.0 + e->sent;
 }
 
 static bool avoided(const route_query_t *query, pimento_id_t id)
--- a/src/spread.c
+++ b/src/spread.c
@@ -87,7 +87,7 @@
 
 static spread_text_t *text_of(const spread_t *spread, unsigned int subject)
 {
-	if (subject < SPREAD_CONFIG || subject > SPREAD_HOSTS)
+	if (subject < CONFIG_SYNC_CONFIG || subject > CONFIG_SYNC_HOSTS)
 		return NULL;
 	return &spread->texts[subject - 1];
 }
@@ -276,8 +276,9 @@
 	}
 }
 
-int spread_read(spread_t *spread, pimento_usec_t now, spread_subject_t subject,
-		uint64_t revision, const char *text, size_t length)
+int spread_read(spread_t *spread, pimento_usec_t now,
+		config_sync_subject_t subject, uint64_t revision,
+		const char *text, size_t length)
 {
 	spread_text_t *t = text_of(spread, subject);
 	uint64_t digest;
@@ -308,7 +309,7 @@
 }
 
 void spread_heard(spread_t *spread, pimento_usec_t now, pimento_id_t from,
-		  spread_subject_t subject, uint64_t revision)
+		  config_sync_subject_t subject, uint64_t revision)
 {
 	spread_text_t *t = text_of(spread, subject);
 
@@ -331,7 +332,7 @@
 		return PIMENTO_EINVAL;
 	if (refused(t, o->revision, o->digest))
 		return PIMENTO_OK;
-	spread_heard(spread, now, from, (spread_subject_t)o->subject,
+	spread_heard(spread, now, from, (config_sync_subject_t)o->subject,
 		     o->revision);
 	return PIMENTO_OK;
 }
@@ -387,8 +388,8 @@
 	part->size = (uint32_t)size;
 	part->offset = p->offset;
 	part->length = (uint32_t)(size - p->offset);
-	if (part->length > MESSAGE_PART_MAX)
-		part->length = MESSAGE_PART_MAX;
+	if (part->length > MESSAGE_PART_BYTES_MAX)
+		part->length = MESSAGE_PART_BYTES_MAX;
 	memcpy(part->bytes, bytes + p->offset, part->length);
 	outbox_put(spread->out, from, &message);
 	return PIMENTO_OK;
@@ -472,8 +473,9 @@
 	spread_text_t *t = text_of(spread, p->subject);
 	fetch_t *f;
 
-	if (!t || p->length > MESSAGE_PART_MAX || p->size > SPREAD_TEXT_MAX ||
-	    p->offset > p->size || p->length > p->size - p->offset)
+	if (!t || p->length > MESSAGE_PART_BYTES_MAX ||
+	    p->size > SPREAD_TEXT_MAX || p->offset > p->size ||
+	    p->length > p->size - p->offset)
 		return PIMENTO_EINVAL;
 	f = &t->fetch;
 	if (!f->revision || p->revision < f->revision ||
@@ -518,7 +520,7 @@
 	}
 }
 
-const char *spread_pending(spread_t *spread, spread_subject_t subject,
+const char *spread_pending(spread_t *spread, config_sync_subject_t subject,
 			   uint64_t *revision, size_t *length)
 {
 	const spread_text_t *t = text_of(spread, subject);
@@ -548,7 +550,7 @@
 }
 
 void spread_judge(spread_t *spread, pimento_usec_t now,
-		  spread_subject_t subject, bool accepted)
+		  config_sync_subject_t subject, bool accepted)
 {
 	spread_text_t *t = text_of(spread, subject);
 
@@ -572,7 +574,7 @@
 	}
 }
 
-uint64_t spread_revision(const spread_t *spread, spread_subject_t subject)
+uint64_t spread_revision(const spread_t *spread, config_sync_subject_t subject)
 {
 	const spread_text_t *t = text_of(spread, subject);
 
@@ -608,7 +610,7 @@
 
 void spread_tick(spread_t *spread, pimento_usec_t now)
 {
-	for (unsigned int s = SPREAD_CONFIG; s <= SPREAD_HOSTS; s++) {
+	for (unsigned int s = CONFIG_SYNC_CONFIG; s <= CONFIG_SYNC_HOSTS; s++) {
 		spread_text_t *t = text_of(spread, s);
 		fetch_t *f = &t->fetch;
 
--- a/src/spread.h
+++ b/src/spread.h
@@ -37,7 +37,7 @@
 	spread_options_t options;
 	outbox_t *out;
 	pimento_random_t random;
-	spread_text_t *texts; /* one per spread_subject_t */
+	spread_text_t *texts; /* one per config_sync_subject_t */
 	pimento_id_t peers[SPREAD_PEERS]; /* heard lately; get the offers */
 	uint32_t peer_next;
 } spread_t;
@@ -52,8 +52,9 @@
  * PIMENTO_ETOOBIG over SPREAD_TEXT_MAX, PIMENTO_EBUSY while another text
  * awaits judgement, PIMENTO_ENOMEM.
  */
-int spread_read(spread_t *spread, pimento_usec_t now, spread_subject_t subject,
-		uint64_t revision, const char *text, size_t length);
+int spread_read(spread_t *spread, pimento_usec_t now,
+		config_sync_subject_t subject, uint64_t revision,
+		const char *text, size_t length);
 
 /* Takes MESSAGE_OFFER, _PULL, _PART. Malformed ones return PIMENTO_EINVAL. */
 int spread_receive(spread_t *spread, pimento_usec_t now, pimento_id_t from,
@@ -61,21 +62,21 @@
 
 /* A probe told that a peer holds this revision: pulls if it is newer. */
 void spread_heard(spread_t *spread, pimento_usec_t now, pimento_id_t from,
-		  spread_subject_t subject, uint64_t revision);
+		  config_sync_subject_t subject, uint64_t revision);
 
 /*
  * Returns a whole new text that awaits judgement, or NULL. The caller checks
  * it and says spread_judge(); the text stays valid until then.
  */
-const char *spread_pending(spread_t *spread, spread_subject_t subject,
+const char *spread_pending(spread_t *spread, config_sync_subject_t subject,
 			   uint64_t *revision, size_t *length);
 
 /* accepted: in force from now. Else it stays refused at this revision. */
 void spread_judge(spread_t *spread, pimento_usec_t now,
-		  spread_subject_t subject, bool accepted);
+		  config_sync_subject_t subject, bool accepted);
 
 /* Revision in force, 0 none. */
-uint64_t spread_revision(const spread_t *spread, spread_subject_t subject);
+uint64_t spread_revision(const spread_t *spread, config_sync_subject_t subject);
 
 /*
  * How this host should read the platform now: true to watch (blocking read),
--- a/src/subject.c
+++ b/src/subject.c
@@ -197,7 +197,7 @@
 	fact->incarnation = h->incarnation;
 	fact->version = h->version;
 	fact->state = (uint8_t)state;
-	fact->endpoint = h->endpoint;
+	fact->is_endpoint = h->endpoint;
 }
 
 static void put_fact(message_probe_t *p, const member_host_t *h,
@@ -347,12 +347,12 @@
 	member_host_t *h = subject_find(m, fact->subject);
 
 	if (h)
-		return h->endpoint == (fact->endpoint != 0) ? h : NULL;
+		return h->endpoint == (fact->is_endpoint != 0) ? h : NULL;
 	if (fact->state == HOST_DEAD)
 		return NULL;
-	if (!fact->version && !fact->endpoint)
+	if (!fact->version && !fact->is_endpoint)
 		return NULL;
-	if (subject_add(m, fact->subject, fact->endpoint != 0, &h))
+	if (subject_add(m, fact->subject, fact->is_endpoint != 0, &h))
 		return NULL;
 	return h;
 }
--- a/src/wire.c
+++ b/src/wire.c
@@ -36,7 +36,7 @@
 	} u;
 } scratch_t;
 
-static Wire__Reqid *put_pair(Wire__Reqid *to, uint64_t hi, uint64_t lo)
+static Wire__Reqid *put_id(Wire__Reqid *to, uint64_t hi, uint64_t lo)
 {
 	wire__reqid__init(to);
 	to->hi = hi;
@@ -57,7 +57,7 @@
 	to->n_waiting = PIMENTO_TIERS_MAX;
 	to->waiting = (uint32_t *)from->waiting;
 	to->n_wait = PIMENTO_TIERS_MAX;
-	to->wait = (uint32_t *)from->wait;
+	to->wait = (uint32_t *)from->wait_ms;
 	to->waiting_tokens = from->waiting_tokens;
 	to->prefill_rate = from->prefill_rate;
 	to->decode_rate = from->decode_rate;
@@ -65,11 +65,11 @@
 	return to;
 }
 
-static Wire__Place *put_place(scratch_t *s, const message_place_t *from)
+static Wire__Place *put_place(scratch_t *s, const message_dispatch_t *from)
 {
 	wire__place__init(&s->place);
 	s->place.request =
-		put_pair(&s->place_reqid, from->request.hi, from->request.lo);
+		put_id(&s->place_reqid, from->request.hi, from->request.lo);
 	s->place.endpoint = from->endpoint;
 	s->place.digest = from->digest;
 	s->place.done = from->done;
@@ -85,16 +85,16 @@
 	Wire__Reserve *to = &s->u.reserve;
 
 	wire__reserve__init(to);
-	to->request = put_pair(&s->reqid, m->request.hi, m->request.lo);
+	to->request = put_id(&s->reqid, m->request.hi, m->request.lo);
 	to->round = m->round;
 	to->endpoint = m->endpoint;
 	to->account = m->account;
 	to->tier = m->tier;
 	to->hops = m->hops;
-	to->patience = m->patience;
+	to->patience = m->time_left;
 	to->prompt_tokens = m->prompt_tokens;
 	to->answer_tokens = m->answer_tokens;
-	to->prefix = m->prefix;
+	to->prefix = m->prefix_hash;
 	e->body_case = WIRE__ENVELOPE__BODY_RESERVE;
 	e->reserve = to;
 }
@@ -104,7 +104,7 @@
 	Wire__Grant *to = &s->u.grant;
 
 	wire__grant__init(to);
-	to->request = put_pair(&s->reqid, m->request.hi, m->request.lo);
+	to->request = put_id(&s->reqid, m->request.hi, m->request.lo);
 	to->round = m->round;
 	to->epoch = m->epoch;
 	to->lifetime = m->lifetime;
@@ -118,9 +118,9 @@
 	Wire__Wait *to = &s->u.wait;
 
 	wire__wait__init(to);
-	to->request = put_pair(&s->reqid, m->request.hi, m->request.lo);
+	to->request = put_id(&s->reqid, m->request.hi, m->request.lo);
 	to->round = m->round;
-	to->expected = m->expected;
+	to->expected = m->expected_wait;
 	to->summary = put_summary(&s->summaries[0], &m->summary);
 	e->body_case = WIRE__ENVELOPE__BODY_WAIT;
 	e->wait = to;
@@ -132,11 +132,11 @@
 	Wire__Refuse *to = &s->u.refuse;
 
 	wire__refuse__init(to);
-	to->request = put_pair(&s->reqid, m->request.hi, m->request.lo);
+	to->request = put_id(&s->reqid, m->request.hi, m->request.lo);
 	to->round = m->round;
 	to->reason = m->reason;
 	to->retry_after = m->retry_after;
-	to->elsewhere = m->elsewhere;
+	to->elsewhere = m->alternative_endpoint;
 	to->summary = put_summary(&s->summaries[0], &m->summary);
 	e->body_case = WIRE__ENVELOPE__BODY_REFUSE;
 	e->refuse = to;
@@ -148,15 +148,15 @@
 	Wire__Release *to = &s->u.release;
 
 	wire__release__init(to);
-	to->request = put_pair(&s->reqid, m->request.hi, m->request.lo);
+	to->request = put_id(&s->reqid, m->request.hi, m->request.lo);
 	to->round = m->round;
 	to->endpoint = m->endpoint;
 	to->epoch = m->epoch;
 	to->outcome = m->outcome;
 	to->prompt_tokens = m->prompt_tokens;
 	to->answer_tokens = m->answer_tokens;
-	to->first_token = m->first_token;
-	to->decode = m->decode;
+	to->first_token = m->time_to_first_token;
+	to->decode = m->decode_time;
 	e->body_case = WIRE__ENVELOPE__BODY_RELEASE;
 	e->release = to;
 }
@@ -167,13 +167,13 @@
 	Wire__Progress *to = &s->u.progress;
 
 	wire__progress__init(to);
-	to->request = put_pair(&s->reqid, m->request.hi, m->request.lo);
+	to->request = put_id(&s->reqid, m->request.hi, m->request.lo);
 	to->round = m->round;
 	to->endpoint = m->endpoint;
 	to->epoch = m->epoch;
 	to->answer_tokens = m->answer_tokens;
-	to->first_token = m->first_token;
-	to->decode = m->decode;
+	to->first_token = m->time_to_first_token;
+	to->decode = m->decode_time;
 	e->body_case = WIRE__ENVELOPE__BODY_PROGRESS;
 	e->progress = to;
 }
@@ -199,13 +199,13 @@
 
 	wire__claim__init(to);
 	to->op = m->op;
-	to->key = put_pair(&s->reqid, m->key.hi, m->key.lo);
+	to->key = put_id(&s->reqid, m->key.hi, m->key.lo);
 	to->sequence = m->sequence;
 	to->incarnation = m->incarnation;
-	to->view = m->view;
-	to->age = m->age;
+	to->view = m->witness_set_hash;
+	to->age = m->key_age;
 	to->attempt = m->attempt;
-	to->place = put_place(s, &m->place);
+	to->place = put_place(s, &m->dispatch);
 	e->body_case = WIRE__ENVELOPE__BODY_CLAIM;
 	e->claim = to;
 }
@@ -216,14 +216,14 @@
 	Wire__Witness *to = &s->u.witness;
 
 	wire__witness__init(to);
-	to->key = put_pair(&s->reqid, m->key.hi, m->key.lo);
+	to->key = put_id(&s->reqid, m->key.hi, m->key.lo);
 	to->sequence = m->sequence;
 	to->incarnation = m->incarnation;
-	to->answer = m->answer;
+	to->answer = m->result;
 	to->sealed = m->sealed;
 	to->attempt = m->attempt;
 	if (m->attempt)
-		to->place = put_place(s, &m->place);
+		to->place = put_place(s, &m->dispatch);
 	e->body_case = WIRE__ENVELOPE__BODY_WITNESS;
 	e->witness = to;
 }
@@ -247,7 +247,7 @@
 		fact->incarnation = m->facts[i].incarnation;
 		fact->version = m->facts[i].version;
 		fact->state = m->facts[i].state;
-		fact->endpoint = m->facts[i].endpoint;
+		fact->endpoint = m->facts[i].is_endpoint;
 		s->fact_list[i] = fact;
 	}
 	to->n_facts = m->count;
@@ -301,7 +301,7 @@
 }
 
 /* False for a message whose counts would read beyond its arrays. */
-static bool countable(const message_t *m)
+static bool counts_in_bounds(const message_t *m)
 {
 	switch (m->kind) {
 	case MESSAGE_DIGEST:
@@ -310,11 +310,13 @@
 	case MESSAGE_ACK:
 		return m->u.probe.count <= MESSAGE_FACTS_MAX;
 	case MESSAGE_PART:
-		return m->u.part.length <= MESSAGE_PART_MAX;
+		return m->u.part.length <= MESSAGE_PART_BYTES_MAX;
 	case MESSAGE_CLAIM:
-		return m->u.claim.place.answer_size <= MESSAGE_ANSWER_MAX;
+		return m->u.claim.dispatch.answer_size <=
+		       MESSAGE_ANSWER_BYTES_MAX;
 	case MESSAGE_WITNESS:
-		return m->u.witness.place.answer_size <= MESSAGE_ANSWER_MAX;
+		return m->u.witness.dispatch.answer_size <=
+		       MESSAGE_ANSWER_BYTES_MAX;
 	default:
 		return true;
 	}
@@ -377,26 +379,27 @@
 	scratch_t scratch;
 	size_t length;
 
-	if (!countable(message))
+	if (!counts_in_bounds(message))
 		return PIMENTO_EINVAL;
 	if (put_message(&scratch, &envelope, message))
 		return PIMENTO_EINVAL;
 	envelope.from = from;
 	length = wire__envelope__get_packed_size(&envelope);
-	if (length > WIRE_PAYLOAD_MAX || length + WIRE_HEAD > size)
+	if (length > WIRE_PAYLOAD_MAX || length + WIRE_HEADER_SIZE > size)
 		return PIMENTO_ETOOBIG;
 	frame[0] = (uint8_t)(length >> 24);
 	frame[1] = (uint8_t)(length >> 16);
 	frame[2] = (uint8_t)(length >> 8);
 	frame[3] = (uint8_t)length;
-	wire__envelope__pack(&envelope, frame + WIRE_HEAD);
-	return (int)(length + WIRE_HEAD);
+	wire__envelope__pack(&envelope, frame + WIRE_HEADER_SIZE);
+	return (int)(length + WIRE_HEADER_SIZE);
 }
 
-int wire_length(const uint8_t head[WIRE_HEAD])
+int wire_payload_length(const uint8_t header[WIRE_HEADER_SIZE])
 {
-	uint32_t length = (uint32_t)head[0] << 24 | (uint32_t)head[1] << 16 |
-			  (uint32_t)head[2] << 8 | head[3];
+	uint32_t length = (uint32_t)header[0] << 24 |
+			  (uint32_t)header[1] << 16 | (uint32_t)header[2] << 8 |
+			  header[3];
 
 	if (!length || length > WIRE_PAYLOAD_MAX)
 		return PIMENTO_EPARSE;
@@ -442,7 +445,7 @@
 	for (size_t i = 0; i < from->n_waiting; i++)
 		to->waiting[i] = from->waiting[i];
 	for (size_t i = 0; i < from->n_wait; i++)
-		to->wait[i] = from->wait[i];
+		to->wait_ms[i] = from->wait[i];
 	to->waiting_tokens = from->waiting_tokens;
 	/* A rate that is no number would spoil every estimate it enters. */
 	to->prefill_rate = from->prefill_rate >= 0 ? from->prefill_rate : 0;
@@ -451,12 +454,12 @@
 	return PIMENTO_OK;
 }
 
-static int get_place(message_place_t *to, const Wire__Place *from)
+static int get_place(message_dispatch_t *to, const Wire__Place *from)
 {
-	memset(to, 0, offsetof(message_place_t, answer));
+	memset(to, 0, offsetof(message_dispatch_t, answer));
 	if (!from)
 		return PIMENTO_OK;
-	if (from->answer.len > MESSAGE_ANSWER_MAX || from->status > 999)
+	if (from->answer.len > MESSAGE_ANSWER_BYTES_MAX || from->status > 999)
 		return PIMENTO_EPARSE;
 	to->request = get_reqid(from->request);
 	to->endpoint = from->endpoint;
@@ -470,7 +473,7 @@
 }
 
 /* Spans come from another host: one below zero would run a clock backwards. */
-static pimento_usec_t get_span(int64_t span)
+static pimento_usec_t clamp_duration(int64_t span)
 {
 	return span < 0 ? 0 : span;
 }
@@ -485,10 +488,10 @@
 	to->account = from->account;
 	to->tier = (uint8_t)from->tier;
 	to->hops = (uint8_t)from->hops;
-	to->patience = get_span(from->patience);
+	to->time_left = clamp_duration(from->patience);
 	to->prompt_tokens = from->prompt_tokens;
 	to->answer_tokens = from->answer_tokens;
-	to->prefix = from->prefix;
+	to->prefix_hash = from->prefix;
 	return PIMENTO_OK;
 }
 
@@ -503,8 +506,8 @@
 	to->outcome = (uint8_t)from->outcome;
 	to->prompt_tokens = from->prompt_tokens;
 	to->answer_tokens = from->answer_tokens;
-	to->first_token = get_span(from->first_token);
-	to->decode = get_span(from->decode);
+	to->time_to_first_token = clamp_duration(from->first_token);
+	to->decode_time = clamp_duration(from->decode);
 	return PIMENTO_OK;
 }
 
@@ -515,8 +518,8 @@
 	to->endpoint = from->endpoint;
 	to->epoch = from->epoch;
 	to->answer_tokens = from->answer_tokens;
-	to->first_token = get_span(from->first_token);
-	to->decode = get_span(from->decode);
+	to->time_to_first_token = clamp_duration(from->first_token);
+	to->decode_time = clamp_duration(from->decode);
 }
 
 static int get_grant(message_grant_t *to, const Wire__Grant *from)
@@ -524,7 +527,7 @@
 	to->request = get_reqid(from->request);
 	to->round = from->round;
 	to->epoch = from->epoch;
-	to->lifetime = get_span(from->lifetime);
+	to->lifetime = clamp_duration(from->lifetime);
 	return get_summary(&to->summary, from->summary);
 }
 
@@ -532,7 +535,7 @@
 {
 	to->request = get_reqid(from->request);
 	to->round = from->round;
-	to->expected = get_span(from->expected);
+	to->expected_wait = clamp_duration(from->expected);
 	return get_summary(&to->summary, from->summary);
 }
 
@@ -541,8 +544,8 @@
 	to->request = get_reqid(from->request);
 	to->round = from->round;
 	to->reason = from->reason;
-	to->retry_after = get_span(from->retry_after);
-	to->elsewhere = from->elsewhere;
+	to->retry_after = clamp_duration(from->retry_after);
+	to->alternative_endpoint = from->elsewhere;
 	return get_summary(&to->summary, from->summary);
 }
 
@@ -566,10 +569,10 @@
 	to->key = get_key(from->key);
 	to->sequence = from->sequence;
 	to->incarnation = from->incarnation;
-	to->view = from->view;
-	to->age = from->age;
+	to->witness_set_hash = from->view;
+	to->key_age = from->age;
 	to->attempt = from->attempt;
-	return get_place(&to->place, from->place);
+	return get_place(&to->dispatch, from->place);
 }
 
 static int get_witness(message_witness_t *to, const Wire__Witness *from)
@@ -577,10 +580,10 @@
 	to->key = get_key(from->key);
 	to->sequence = from->sequence;
 	to->incarnation = from->incarnation;
-	to->answer = from->answer;
+	to->result = from->answer;
 	to->sealed = from->sealed;
 	to->attempt = from->attempt;
-	return get_place(&to->place, from->place);
+	return get_place(&to->dispatch, from->place);
 }
 
 static int get_probe(message_probe_t *to, const Wire__Probe *from)
@@ -602,14 +605,14 @@
 		to->facts[i].incarnation = fact->incarnation;
 		to->facts[i].version = fact->version;
 		to->facts[i].state = (uint8_t)fact->state;
-		to->facts[i].endpoint = fact->endpoint;
+		to->facts[i].is_endpoint = fact->endpoint;
 	}
 	return PIMENTO_OK;
 }
 
 static int get_subject(uint8_t *to, uint32_t from)
 {
-	if (from != SPREAD_CONFIG && from != SPREAD_HOSTS)
+	if (from != CONFIG_SYNC_CONFIG && from != CONFIG_SYNC_HOSTS)
 		return PIMENTO_EPARSE;
 	*to = (uint8_t)from;
 	return PIMENTO_OK;
@@ -633,7 +636,7 @@
 
 static int get_part(message_part_t *to, const Wire__Part *from)
 {
-	if (from->body.len > MESSAGE_PART_MAX)
+	if (from->body.len > MESSAGE_PART_BYTES_MAX)
 		return PIMENTO_EPARSE;
 	to->revision = from->revision;
 	to->base = from->held;
--- a/src/wire.h
+++ b/src/wire.h
@@ -8,10 +8,10 @@
 
 #include "message.h"
 
-#define WIRE_HEAD 4
+#define WIRE_HEADER_SIZE 4
 /* The largest payload: a part or an answer and its fields. */
 #define WIRE_PAYLOAD_MAX 32768
-#define WIRE_FRAME_MAX (WIRE_HEAD + WIRE_PAYLOAD_MAX)
+#define WIRE_FRAME_MAX (WIRE_HEADER_SIZE + WIRE_PAYLOAD_MAX)
 
 /*
  * Writes a whole frame. Returns its length in bytes, or PIMENTO_EINVAL for a
@@ -21,11 +21,11 @@
 		size_t size);
 
 /*
- * Returns the length of the payload that follows the head, or PIMENTO_EPARSE
+ * Returns the length of the payload that follows the header, or PIMENTO_EPARSE
  * if it is zero or over WIRE_PAYLOAD_MAX: the link must then be closed, as its
  * bytes can no longer be told apart.
  */
-int wire_length(const uint8_t head[WIRE_HEAD]);
+int wire_payload_length(const uint8_t header[WIRE_HEADER_SIZE]);
 
 /*
  * Reads a payload. Every count, length and enumeration is checked, so that a
--- a/src/witness.c
+++ b/src/witness.c
@@ -26,20 +26,20 @@
  * not even record that a refused request has not run, and each refusal would
  * have to say "may have run".
  */
-#define SEAL_SHARE 8
+#define SEAL_RESERVE_DIVISOR 8
 
 /* Answers kept may use this much a key of the capacity, taken together. */
 #define ANSWER_BYTES_PER_KEY 512
 
 struct witness_record {
-	witness_record_t *chain;
+	witness_record_t *bucket_next;
 	witness_record_t *older;
 	witness_record_t *newer;
 	pimento_key_t key;
-	pimento_usec_t changed;
+	pimento_usec_t changed_at;
 	uint32_t sealed;
 	uint32_t attempt; /* of the claim, 0 none */
-	uint64_t sequence; /* of the question that named the place */
+	uint64_t sequence; /* of the message that named the place */
 	pimento_reqid_t request;
 	pimento_id_t endpoint;
 	uint64_t digest;
@@ -53,7 +53,7 @@
 {
 	memset(witness, 0, sizeof(*witness));
 	if (!options->incarnation || !options->capacity ||
-	    options->retention <= 0 || options->skew < 0)
+	    options->retention <= 0 || options->clock_skew_max < 0)
 		return PIMENTO_EINVAL;
 	witness->options = *options;
 	witness->bucket_count = 1;
@@ -64,13 +64,13 @@
 	return witness->buckets ? PIMENTO_OK : PIMENTO_ENOMEM;
 }
 
-static witness_record_t **slot(const witness_t *witness, pimento_key_t key)
+static witness_record_t **find_link(const witness_t *witness, pimento_key_t key)
 {
 	witness_record_t **at =
 		&witness->buckets[key.lo & (witness->bucket_count - 1)];
 
 	while (*at && !pimento_key_equal((*at)->key, key))
-		at = &(*at)->chain;
+		at = &(*at)->bucket_next;
 	return at;
 }
 
@@ -105,7 +105,7 @@
 	record->answer_size = 0;
 }
 
-static void forget_oldest(witness_t *witness)
+static void remove_oldest(witness_t *witness)
 {
 	witness_record_t *record = witness->oldest;
 
@@ -114,7 +114,7 @@
 		witness->oldest->older = NULL;
 	else
 		witness->newest = NULL;
-	*slot(witness, record->key) = record->chain;
+	*find_link(witness, record->key) = record->bucket_next;
 	drop_answer(witness, record);
 	free(record);
 	witness->count--;
@@ -123,20 +123,20 @@
 void witness_finish(witness_t *witness)
 {
 	while (witness->oldest)
-		forget_oldest(witness);
-	for (uint32_t i = 0; i < witness->view_count; i++)
-		free(witness->views[i].hosts);
+		remove_oldest(witness);
+	for (uint32_t i = 0; i < witness->hostlist_count; i++)
+		free(witness->hostlists[i].hosts);
 	free(witness->buckets);
 	memset(witness, 0, sizeof(*witness));
 }
 
 /*
  * How much a stated age can be wrong: by the difference of two clocks, and by
- * the time that a question was on its way, for as long as its reply counts.
+ * the time that a message was on its way, for as long as its reply counts.
  */
-static pimento_usec_t margin(const witness_t *witness)
+static pimento_usec_t age_error_max(const witness_t *witness)
 {
-	return witness->options.skew + CLAIM_STEP_MAX;
+	return witness->options.clock_skew_max + CLAIM_STEP_TIMEOUT_MAX;
 }
 
 /*
@@ -144,9 +144,9 @@
  * margin, an entry whose clock is behind would still get a key accepted that
  * this witness has just forgotten, and it would run twice.
  */
-static pimento_usec_t lifetime(const witness_t *witness)
+static pimento_usec_t record_lifetime(const witness_t *witness)
 {
-	return witness->options.retention + 2 * margin(witness);
+	return witness->options.retention + 2 * age_error_max(witness);
 }
 
 /*
@@ -156,22 +156,22 @@
 void witness_tick(witness_t *witness, pimento_usec_t now)
 {
 	while (witness->oldest &&
-	       now - witness->oldest->changed > lifetime(witness))
-		forget_oldest(witness);
+	       now - witness->oldest->changed_at > record_lifetime(witness))
+		remove_oldest(witness);
 }
 
 static void touch(witness_t *witness, pimento_usec_t now,
 		  witness_record_t *record)
 {
-	record->changed = now;
+	record->changed_at = now;
 	age_unlink(witness, record);
 	age_append(witness, record);
 }
 
-static witness_record_t *remember(witness_t *witness, pimento_usec_t now,
-				  pimento_key_t key, uint32_t capacity)
+static witness_record_t *find_or_add(witness_t *witness, pimento_usec_t now,
+				     pimento_key_t key, uint32_t capacity)
 {
-	witness_record_t **at = slot(witness, key);
+	witness_record_t **at = find_link(witness, key);
 	witness_record_t *record = *at;
 
 	if (record) {
@@ -184,7 +184,7 @@
 	if (!record)
 		return NULL;
 	record->key = key;
-	record->changed = now;
+	record->changed_at = now;
 	*at = record;
 	age_append(witness, record);
 	witness->count++;
@@ -196,75 +196,72 @@
 	return record->attempt && pimento_reqid_equal(record->request, request);
 }
 
-static void set_claim(witness_record_t *record, const message_claim_t *question)
+static void set_claim(witness_record_t *record, const message_claim_t *msg)
 {
-	record->attempt = question->attempt;
-	record->sequence = question->sequence;
-	record->request = question->place.request;
-	record->endpoint = question->place.endpoint;
-	record->digest = question->place.digest;
+	record->attempt = msg->attempt;
+	record->sequence = msg->sequence;
+	record->request = msg->dispatch.request;
+	record->endpoint = msg->dispatch.endpoint;
+	record->digest = msg->dispatch.digest;
 }
 
 static uint32_t claim_capacity(const witness_t *witness)
 {
 	uint32_t capacity = witness->options.capacity;
 
-	return capacity - capacity / SEAL_SHARE;
+	return capacity - capacity / SEAL_RESERVE_DIVISOR;
 }
 
-static int take(witness_t *witness, pimento_usec_t now,
-		const message_claim_t *question)
+static int apply_take(witness_t *witness, pimento_usec_t now,
+		      const message_claim_t *msg)
 {
-	witness_record_t *record = *slot(witness, question->key);
+	witness_record_t *record = *find_link(witness, msg->key);
 
-	if (record && record->attempt &&
-	    !holds(record, question->place.request))
+	if (record && record->attempt && !holds(record, msg->dispatch.request))
 		return PIMENTO_ECLAIMED;
-	if (record && record->sealed >= question->attempt)
+	if (record && record->sealed >= msg->attempt)
 		return PIMENTO_ESEALED;
-	record = remember(witness, now, question->key, claim_capacity(witness));
+	record = find_or_add(witness, now, msg->key, claim_capacity(witness));
 	if (!record)
 		return PIMENTO_EFULL;
-	/* A late copy must not put back the endpoint of an earlier question. */
-	if (!record->attempt || question->sequence > record->sequence)
-		set_claim(record, question);
+	/* A late copy must not put back the endpoint of an earlier message. */
+	if (!record->attempt || msg->sequence > record->sequence)
+		set_claim(record, msg);
 	return PIMENTO_OK;
 }
 
-static int seal(witness_t *witness, pimento_usec_t now,
-		const message_claim_t *question)
+static int apply_seal(witness_t *witness, pimento_usec_t now,
+		      const message_claim_t *msg)
 {
-	witness_record_t *record = *slot(witness, question->key);
+	witness_record_t *record = *find_link(witness, msg->key);
 
-	if (record && record->attempt &&
-	    !holds(record, question->place.request))
+	if (record && record->attempt && !holds(record, msg->dispatch.request))
 		return PIMENTO_ECLAIMED;
 	/* Done: a late copy of a seal must not free what has run. */
 	if (record && record->done)
 		return PIMENTO_ECLAIMED;
-	record = remember(witness, now, question->key,
-			  witness->options.capacity);
+	record = find_or_add(witness, now, msg->key, witness->options.capacity);
 	if (!record)
 		return PIMENTO_EFULL;
 	record->attempt = 0;
-	if (record->sealed < question->attempt)
-		record->sealed = question->attempt;
+	if (record->sealed < msg->attempt)
+		record->sealed = msg->attempt;
 	return PIMENTO_OK;
 }
 
 static void keep_answer(witness_t *witness, witness_record_t *record,
-			const message_place_t *place)
+			const message_dispatch_t *dispatch)
 {
 	size_t limit = (size_t)witness->options.capacity * ANSWER_BYTES_PER_KEY;
-	uint16_t size = place->answer_size;
+	uint16_t size = dispatch->answer_size;
 
-	if (!size || size > MESSAGE_ANSWER_MAX ||
+	if (!size || size > MESSAGE_ANSWER_BYTES_MAX ||
 	    witness->answer_bytes + size > limit)
 		return;
 	record->answer = malloc(size);
 	if (!record->answer)
 		return;
-	memcpy(record->answer, place->answer, size);
+	memcpy(record->answer, dispatch->answer, size);
 	record->answer_size = size;
 	witness->answer_bytes += size;
 }
@@ -273,36 +270,36 @@
  * The outcome comes from the dispatch that won, so it also stands at a witness
  * that the claim never reached or that holds a loser's.
  */
-static int done(witness_t *witness, pimento_usec_t now,
-		const message_claim_t *question)
+static int apply_done(witness_t *witness, pimento_usec_t now,
+		      const message_claim_t *msg)
 {
-	witness_record_t *record = *slot(witness, question->key);
+	witness_record_t *record = *find_link(witness, msg->key);
 
 	if (record && record->done)
 		return PIMENTO_OK;
-	record = remember(witness, now, question->key,
-			  witness->options.capacity);
+	record = find_or_add(witness, now, msg->key, witness->options.capacity);
 	if (!record)
 		return PIMENTO_EFULL;
-	set_claim(record, question);
+	set_claim(record, msg);
 	record->done = true;
-	record->status = question->place.status;
-	keep_answer(witness, record, &question->place);
+	record->status = msg->dispatch.status;
+	keep_answer(witness, record, &msg->dispatch);
 	return PIMENTO_OK;
 }
 
-static bool newest_set(const witness_t *witness, uint32_t back,
-		       pimento_key_t key, witness_set_t *set)
+static bool set_by_hostlist(const witness_t *witness, uint32_t back,
+			    pimento_key_t key, witness_set_t *set)
 {
-	const witness_view_t *view;
+	const witness_hostlist_t *hostlist;
 
-	if (back >= witness->view_count)
+	if (back >= witness->hostlist_count)
 		return false;
-	view = &witness->views[witness->view_count - 1 - back];
-	return keyring_rendezvous(view->hosts, view->count, key, set) == 0;
+	hostlist = &witness->hostlists[witness->hostlist_count - 1 - back];
+	return idem_key_rendezvous(hostlist->hosts, hostlist->count, key,
+				   set) == 0;
 }
 
-static bool in_set(const witness_set_t *set, pimento_id_t host)
+static bool set_has_host(const witness_set_t *set, pimento_id_t host)
 {
 	for (uint32_t i = 0; i < set->count; i++) {
 		if (set->hosts[i] == host)
@@ -316,15 +313,17 @@
  * list that leaves the key's witnesses as they were changes nothing for it.
  */
 static pimento_usec_t in_set_since(const witness_t *witness, pimento_key_t key,
-				   uint64_t view)
+				   uint64_t set_hash)
 {
 	pimento_usec_t since = PIMENTO_NEVER;
 	witness_set_t set;
 
-	for (uint32_t back = 0; newest_set(witness, back, key, &set); back++) {
-		if (set.view != view)
+	for (uint32_t back = 0; set_by_hostlist(witness, back, key, &set);
+	     back++) {
+		if (set.set_hash != set_hash)
 			break;
-		since = witness->views[witness->view_count - 1 - back].adopted;
+		since = witness->hostlists[witness->hostlist_count - 1 - back]
+				.adopted;
 	}
 	return since;
 }
@@ -335,79 +334,81 @@
  * a second dispatch. So it speaks only in the set that it believes in, and only
  * for keys that cannot have been claimed before it did.
  */
-static int check_view(const witness_t *witness, pimento_usec_t now,
-		      const message_claim_t *question)
+static int check_witness_set(const witness_t *witness, pimento_usec_t now,
+			     const message_claim_t *msg)
 {
-	pimento_usec_t born = now - question->age;
+	pimento_usec_t key_created = now - msg->key_age;
 	pimento_usec_t since;
 	witness_set_t set;
 
-	if (!newest_set(witness, 0, question->key, &set) ||
-	    set.view != question->view || !in_set(&set, witness->self))
+	if (!set_by_hostlist(witness, 0, msg->key, &set) ||
+	    set.set_hash != msg->witness_set_hash ||
+	    !set_has_host(&set, witness->self))
 		return PIMENTO_ESTALE;
-	if (question->age == CLAIM_AGE_UNKNOWN)
-		born = now - witness->options.retention;
-	since = in_set_since(witness, question->key, question->view);
-	return since <= born - margin(witness) ? PIMENTO_OK : PIMENTO_ESTALE;
+	if (msg->key_age == CLAIM_AGE_UNKNOWN)
+		key_created = now - witness->options.retention;
+	since = in_set_since(witness, msg->key, msg->witness_set_hash);
+	return since <= key_created - age_error_max(witness) ? PIMENTO_OK
+							     : PIMENTO_ESTALE;
 }
 
 /* Whether this witness may speak for the key at all. */
-static int admit(const witness_t *witness, pimento_usec_t now,
-		 const message_claim_t *question)
+static int check_eligible(const witness_t *witness, pimento_usec_t now,
+			  const message_claim_t *msg)
 {
-	if (pimento_key_none(question->key) ||
-	    (!question->attempt && question->op != CLAIM_QUERY))
+	if (pimento_key_none(msg->key) ||
+	    (!msg->attempt && msg->op != CLAIM_QUERY))
 		return PIMENTO_EINVAL;
-	if (question->incarnation &&
-	    question->incarnation != witness->options.incarnation)
+	if (msg->incarnation &&
+	    msg->incarnation != witness->options.incarnation)
 		return PIMENTO_ESTALE;
-	if (!question->incarnation && !question->view)
+	if (!msg->incarnation && !msg->witness_set_hash)
 		return PIMENTO_EINVAL;
-	if (question->age != CLAIM_AGE_UNKNOWN &&
-	    (question->age > witness->options.retention ||
-	     question->age < -witness->options.skew))
+	if (msg->key_age != CLAIM_AGE_UNKNOWN &&
+	    (msg->key_age > witness->options.retention ||
+	     msg->key_age < -witness->options.clock_skew_max))
 		return PIMENTO_EEXPIRED;
-	if (question->view)
-		return check_view(witness, now, question);
+	if (msg->witness_set_hash)
+		return check_witness_set(witness, now, msg);
 	return PIMENTO_OK;
 }
 
-static int apply(witness_t *witness, pimento_usec_t now,
-		 const message_claim_t *question)
+static int apply_op(witness_t *witness, pimento_usec_t now,
+		    const message_claim_t *msg)
 {
-	switch (question->op) {
+	switch (msg->op) {
 	case CLAIM_QUERY:
 		return PIMENTO_OK;
 	case CLAIM_TAKE:
-		return take(witness, now, question);
+		return apply_take(witness, now, msg);
 	case CLAIM_SEAL:
-		return seal(witness, now, question);
+		return apply_seal(witness, now, msg);
 	case CLAIM_DONE:
-		return done(witness, now, question);
+		return apply_done(witness, now, msg);
 	default:
 		return PIMENTO_EINVAL;
 	}
 }
 
 /* The claimant knows its own answer: only others are sent it. */
-static void describe(const witness_record_t *record,
-		     const message_claim_t *question, message_witness_t *reply)
+static void fill_reply(const witness_record_t *record,
+		       const message_claim_t *msg, message_witness_t *reply)
 {
-	message_place_t *place = &reply->place;
+	message_dispatch_t *dispatch = &reply->dispatch;
 
 	reply->sealed = record->sealed;
 	reply->attempt = record->attempt;
 	if (!record->attempt)
 		return;
-	place->request = record->request;
-	place->endpoint = record->endpoint;
-	place->digest = record->digest;
-	place->done = record->done;
-	place->status = record->status;
-	if (!record->answer_size || holds(record, question->place.request))
+	dispatch->request = record->request;
+	dispatch->endpoint = record->endpoint;
+	dispatch->digest = record->digest;
+	dispatch->done = record->done;
+	dispatch->status = record->status;
+	if (!record->answer_size || holds(record, msg->dispatch.request))
 		return;
-	place->answer_size = record->answer_size;
-	memcpy(place->answer, record->answer, record->answer_size);
+	dispatch->answer_size = record->answer_size;
+	memcpy(dispatch->answer, record->answer, record->answer_size);
 }
 
 /*
@@ -415,66 +416,66 @@
  * under a newer host list can then resume, though it could never dispatch.
  */
 void witness_receive(witness_t *witness, pimento_usec_t now,
-		     const message_claim_t *question, message_witness_t *reply)
+		     const message_claim_t *msg, message_witness_t *reply)
 {
 	const witness_record_t *record;
 
 	witness_tick(witness, now);
 	memset(reply, 0, sizeof(*reply));
-	reply->key = question->key;
-	reply->sequence = question->sequence;
+	reply->key = msg->key;
+	reply->sequence = msg->sequence;
 	reply->incarnation = witness->options.incarnation;
-	reply->answer = admit(witness, now, question);
-	if (reply->answer == PIMENTO_OK)
-		reply->answer = apply(witness, now, question);
-	record = *slot(witness, question->key);
+	reply->result = check_eligible(witness, now, msg);
+	if (reply->result == PIMENTO_OK)
+		reply->result = apply_op(witness, now, msg);
+	record = *find_link(witness, msg->key);
 	if (record)
-		describe(record, question, reply);
+		fill_reply(record, msg, reply);
 }
 
-static void drop_views(witness_t *witness, uint32_t keep)
+static void drop_hostlists(witness_t *witness, uint32_t keep)
 {
-	uint32_t drop = witness->view_count - keep;
+	uint32_t drop = witness->hostlist_count - keep;
 
 	for (uint32_t i = 0; i < drop; i++)
-		free(witness->views[i].hosts);
-	memmove(witness->views, witness->views + drop,
-		keep * sizeof(*witness->views));
-	witness->view_count = keep;
+		free(witness->hostlists[i].hosts);
+	memmove(witness->hostlists, witness->hostlists + drop,
+		keep * sizeof(*witness->hostlists));
+	witness->hostlist_count = keep;
 }
 
-static bool same_hosts(const witness_view_t *view, const pimento_id_t *hosts,
-		       uint32_t count)
+static bool same_hosts(const witness_hostlist_t *hostlist,
+		       const pimento_id_t *hosts, uint32_t count)
 {
-	return view->count == count &&
-	       !memcmp(view->hosts, hosts, count * sizeof(*hosts));
+	return hostlist->count == count &&
+	       !memcmp(hostlist->hosts, hosts, count * sizeof(*hosts));
 }
 
-int witness_view(witness_t *witness, pimento_usec_t now, const hostlist_t *list,
-		 pimento_id_t self)
+int witness_adopt_hostlist(witness_t *witness, pimento_usec_t now,
+			   const hostlist_t *list, pimento_id_t self)
 {
 	pimento_id_t *hosts = malloc((list->count + 1) * sizeof(*hosts));
-	witness_view_t *view;
+	witness_hostlist_t *hostlist;
 	uint32_t count;
 
 	if (!hosts) {
-		drop_views(witness, 0);
+		drop_hostlists(witness, 0);
 		return PIMENTO_ENOMEM;
 	}
 	witness->self = self;
-	count = keyring_hosts(list, hosts, list->count);
-	if (witness->view_count &&
-	    same_hosts(&witness->views[witness->view_count - 1], hosts,
+	count = idem_key_eligible_hosts(list, hosts, list->count);
+	if (witness->hostlist_count &&
+	    same_hosts(&witness->hostlists[witness->hostlist_count - 1], hosts,
 		       count)) {
 		free(hosts);
 		return PIMENTO_OK;
 	}
-	if (witness->view_count == WITNESS_VIEWS)
-		drop_views(witness, WITNESS_VIEWS - 1);
-	view = &witness->views[witness->view_count++];
-	view->hosts = hosts;
-	view->count = count;
-	view->adopted =
+	if (witness->hostlist_count == WITNESS_HOSTLISTS_MAX)
+		drop_hostlists(witness, WITNESS_HOSTLISTS_MAX - 1);
+	hostlist = &witness->hostlists[witness->hostlist_count++];
+	hostlist->hosts = hosts;
+	hostlist->count = count;
+	hostlist->adopted =
 		now > witness->options.started ? now : witness->options.started;
 	return PIMENTO_OK;
 }
--- a/test/fuzz_key.c
+++ b/test/fuzz_idem_key.c
@@ -13,23 +13,24 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-static const uint8_t secret[KEYRING_SECRET] = { 42 };
+static const uint8_t secret[IDEM_KEY_SECRET_BYTES] = { 42 };
 
-static void issue(const uint8_t *data, size_t size)
+static void check_issued_round_trip(const uint8_t *data, size_t size)
 {
-	char text[KEYRING_TEXT_MAX];
+	char text[IDEM_KEY_TEXT_MAX];
 	witness_set_t set;
 	witness_set_t read;
-	int64_t birth;
+	int64_t created_ms;
 
 	if (size < sizeof(set))
 		return;
 	memcpy(&set, data, sizeof(set));
-	set.view = 0;
-	if (keyring_issue(secret, &set, 5, size, text) < 0)
+	set.set_hash = 0;
+	if (idem_key_issue(secret, &set, 5, size, text) < 0)
 		return;
-	if (keyring_read(secret, text, &read, &birth) || birth != 5 ||
-	    read.count != set.count || read.quorum != set.quorum)
+	if (idem_key_parse(secret, text, &read, &created_ms) ||
+	    created_ms != 5 || read.count != set.count ||
+	    read.quorum != set.quorum)
 		abort();
 	if (memcmp(read.hosts, set.hosts, set.count * sizeof(*set.hosts)) != 0)
 		abort();
@@ -41,19 +42,20 @@
 	hostlist_host_t hosts[HOSTS] = { 0 };
 	hostlist_t list = { .count = HOSTS, .hosts = hosts };
 	witness_set_t set;
-	int64_t birth;
+	int64_t created_ms;
 
 	memcpy(text, data, size);
 	text[size] = 0;
 	for (uint32_t i = 0; i < HOSTS; i++)
 		hosts[i].id = i + 1;
-	if (keyring_read(secret, text, &set, &birth) == 0)
+	if (idem_key_parse(secret, text, &set, &created_ms) == 0)
 		abort();
-	if (keyring_own(text, keyring_hash(1, text), &list, &set, &birth))
+	if (idem_key_select_witnesses(text, idem_key_hash(1, text), &list, &set,
+				      &created_ms))
 		abort();
-	if (birth < -1 || set.count != PIMENTO_WITNESSES_MAX)
+	if (created_ms < -1 || set.count != PIMENTO_WITNESSES_MAX)
 		abort();
 	free(text);
-	issue(data, size);
+	check_issued_round_trip(data, size);
 	return 0;
 }
--- a/test/fuzz_packet.c
+++ b/test/fuzz_packet.c
@@ -12,7 +12,7 @@
 
 static void fuzz_packet(const uint8_t *data, size_t size)
 {
-	uint8_t bytes[4 * PACKET_BYTES];
+	uint8_t bytes[4 * PACKET_BYTES_MAX];
 	packet_t packet;
 
 	if (packet_unpack(&packet, data, size))
@@ -25,15 +25,15 @@
 {
 	size_t half = size / 2;
 	events_t events;
-	int64_t whole;
+	int64_t complete;
 
 	events_init(&events);
-	whole = events_take(&events, (const char *)data, half);
-	if (whole < 0 || (size_t)whole > events.partial.length)
+	complete = events_take(&events, (const char *)data, half);
+	if (complete < 0 || (size_t)complete > events.partial.length)
 		abort();
-	events_drop(&events, (size_t)whole);
-	whole = events_take(&events, (const char *)data + half, size - half);
-	if (whole < 0 || (size_t)whole > events.partial.length)
+	events_drop(&events, (size_t)complete);
+	complete = events_take(&events, (const char *)data + half, size - half);
+	if (complete < 0 || (size_t)complete > events.partial.length)
 		abort();
 	events_finish(&events);
 }
--- a/test/fuzz_wire.c
+++ b/test/fuzz_wire.c
@@ -16,7 +16,7 @@
 int LLVMFuzzerInitialize(int *argc, char ***argv);
 
 /* Members that are counts or enumerations get values that are in range. */
-static void make(message_t *message, message_kind_t kind)
+static void make_message(message_t *message, message_kind_t kind)
 {
 	memset(message, 1, sizeof(*message));
 	message->kind = kind;
@@ -27,9 +27,9 @@
 	if (kind == MESSAGE_PART)
 		message->u.part.length = 20;
 	if (kind == MESSAGE_CLAIM)
-		message->u.claim.place.answer_size = 20;
+		message->u.claim.dispatch.answer_size = 20;
 	if (kind == MESSAGE_WITNESS)
-		message->u.witness.place.answer_size = 20;
+		message->u.witness.dispatch.answer_size = 20;
 }
 
 static void write_seed(const char *folder, message_kind_t kind)
@@ -40,15 +40,16 @@
 	FILE *file;
 	int length;
 
-	make(&message, kind);
+	make_message(&message, kind);
 	length = wire_encode(1, &message, frame, sizeof(frame));
-	if (length < WIRE_HEAD)
+	if (length < WIRE_HEADER_SIZE)
 		return;
-	snprintf(path, sizeof(path), "%s/%s", folder, message_name(kind));
+	snprintf(path, sizeof(path), "%s/%s", folder, message_kind_name(kind));
 	file = fopen(path, "wb");
 	if (!file)
 		return;
-	fwrite(frame + WIRE_HEAD, 1, (size_t)(length - WIRE_HEAD), file);
+	fwrite(frame + WIRE_HEADER_SIZE, 1, (size_t)(length - WIRE_HEADER_SIZE),
+	       file);
 	fclose(file);
 }
 
@@ -61,24 +62,26 @@
 	return 0;
 }
 
-static void read_back(pimento_id_t from, const message_t *message)
+static void check_round_trip(pimento_id_t from, const message_t *message)
 {
 	static uint8_t frame[WIRE_FRAME_MAX];
-	static uint8_t again[WIRE_FRAME_MAX];
+	static uint8_t reencoded[WIRE_FRAME_MAX];
 	static message_t copy;
 	pimento_id_t sender;
 	int length = wire_encode(from, message, frame, sizeof(frame));
 
-	if (length < WIRE_HEAD || wire_length(frame) != length - WIRE_HEAD)
+	if (length < WIRE_HEADER_SIZE ||
+	    wire_payload_length(frame) != length - WIRE_HEADER_SIZE)
 		abort();
 	memset(&copy, 0, sizeof(copy));
-	if (wire_decode(frame + WIRE_HEAD, (size_t)(length - WIRE_HEAD),
-			&sender, &copy))
+	if (wire_decode(frame + WIRE_HEADER_SIZE,
+			(size_t)(length - WIRE_HEADER_SIZE), &sender, &copy))
 		abort();
 	if (sender != from || copy.kind != message->kind)
 		abort();
-	if (wire_encode(sender, &copy, again, sizeof(again)) != length ||
-	    memcmp(frame, again, (size_t)length) != 0)
+	if (wire_encode(sender, &copy, reencoded, sizeof(reencoded)) !=
+		    length ||
+	    memcmp(frame, reencoded, (size_t)length) != 0)
 		abort();
 }
 
@@ -87,10 +90,10 @@
 	static message_t message;
 	pimento_id_t from;
 
-	if (size >= WIRE_HEAD)
-		(void)wire_length(data);
+	if (size >= WIRE_HEADER_SIZE)
+		(void)wire_payload_length(data);
 	memset(&message, 0, sizeof(message));
 	if (wire_decode(data, size, &from, &message) == 0)
-		read_back(from, &message);
+		check_round_trip(from, &message);
 	return 0;
 }
--- a/test/gossip.c
+++ b/test/gossip.c
@@ -108,13 +108,13 @@
 		(unsigned)(h - f->hosts), what);
 }
 
-static bool good(gossip_t *f, spread_subject_t subject, const char *text,
+static bool good(gossip_t *f, config_sync_subject_t subject, const char *text,
 		 size_t length, hostlist_t *list)
 {
 	problems_t problems;
 	int error = 0;
 
-	if (subject == SPREAD_CONFIG)
+	if (subject == CONFIG_SYNC_CONFIG)
 		return length < 3 || strncmp(text, "bad", 3) != 0;
 	problems_init(&problems);
 	error = hostlist_parse(list, text, length, &problems);
@@ -123,7 +123,7 @@
 	return !error;
 }
 
-static void judge(gossip_t *f, gossip_host_t *h, spread_subject_t subject)
+static void judge(gossip_t *f, gossip_host_t *h, config_sync_subject_t subject)
 {
 	hostlist_t list = { 0 };
 	uint64_t revision;
@@ -138,11 +138,11 @@
 	if (!ok)
 		f->judged_bad++;
 	spread_judge(&h->spread, f->now, subject, ok);
-	if (subject == SPREAD_HOSTS && ok) {
+	if (subject == CONFIG_SYNC_HOSTS && ok) {
 		member_publish(&h->member, f->now, &list);
 		hostlist_finish(&list);
 	}
-	if (subject == SPREAD_CONFIG && ok)
+	if (subject == CONFIG_SYNC_CONFIG && ok)
 		h->in_force = f->now;
 }
 
@@ -153,10 +153,11 @@
 	pimento_id_t to;
 	pimento_usec_t at;
 
-	judge(f, h, SPREAD_CONFIG);
-	judge(f, h, SPREAD_HOSTS);
-	h->member.revision = spread_revision(&h->spread, SPREAD_CONFIG);
-	h->member.hosts_revision = spread_revision(&h->spread, SPREAD_HOSTS);
+	judge(f, h, CONFIG_SYNC_CONFIG);
+	judge(f, h, CONFIG_SYNC_HOSTS);
+	h->member.revision = spread_revision(&h->spread, CONFIG_SYNC_CONFIG);
+	h->member.hosts_revision =
+		spread_revision(&h->spread, CONFIG_SYNC_HOSTS);
 	if (h->member.revision < h->revision)
 		problem(f, h, "the configuration reverted");
 	h->revision = h->member.revision;
@@ -200,12 +201,13 @@
 		}
 		if (!text)
 			continue;
-		spread_read(&h->spread, f->now, (spread_subject_t)(s + 1),
+		spread_read(&h->spread, f->now, (config_sync_subject_t)(s + 1),
 			    revision, text, strlen(text));
-		judge(f, h, (spread_subject_t)(s + 1));
+		judge(f, h, (config_sync_subject_t)(s + 1));
 	}
-	h->member.revision = spread_revision(&h->spread, SPREAD_CONFIG);
-	h->member.hosts_revision = spread_revision(&h->spread, SPREAD_HOSTS);
+	h->member.revision = spread_revision(&h->spread, CONFIG_SYNC_CONFIG);
+	h->member.hosts_revision =
+		spread_revision(&h->spread, CONFIG_SYNC_HOSTS);
 	/* A host cannot tell that the platform is stale. */
 	member_refreshed(&h->member, f->now, f->now);
 }
@@ -223,9 +225,9 @@
 {
 	if (m->kind == MESSAGE_PROBE || m->kind == MESSAGE_ACK) {
 		member_receive(&h->member, f->now, from, m);
-		spread_heard(&h->spread, f->now, from, SPREAD_CONFIG,
+		spread_heard(&h->spread, f->now, from, CONFIG_SYNC_CONFIG,
 			     m->u.probe.revision);
-		spread_heard(&h->spread, f->now, from, SPREAD_HOSTS,
+		spread_heard(&h->spread, f->now, from, CONFIG_SYNC_HOSTS,
 			     m->u.probe.hosts_revision);
 		return;
 	}
@@ -380,7 +382,7 @@
 	memset(fleet, 0, sizeof(*fleet));
 }
 
-void gossip_publish(gossip_t *fleet, spread_subject_t subject, char *text)
+void gossip_publish(gossip_t *fleet, config_sync_subject_t subject, char *text)
 {
 	unsigned int s = (unsigned int)subject - 1;
 
@@ -396,7 +398,8 @@
 	char *text = malloc(capacity);
 	size_t n = (size_t)snprintf(
 		text, capacity, "{\"revision\": %llu, \"hosts\": [",
-		(unsigned long long)fleet->revisions[SPREAD_HOSTS - 1] + 1);
+		(unsigned long long)fleet->revisions[CONFIG_SYNC_HOSTS - 1] +
+			1);
 	const char *comma = "";
 
 	for (uint32_t i = 0; i < fleet->count; i++) {
@@ -416,12 +419,12 @@
 		comma = ",";
 	}
 	snprintf(text + n, capacity - n, "]}\n");
-	gossip_publish(fleet, SPREAD_HOSTS, text);
+	gossip_publish(fleet, CONFIG_SYNC_HOSTS, text);
 }
 
 char *gossip_config(gossip_t *fleet, size_t size)
 {
-	uint64_t revision = fleet->revisions[SPREAD_CONFIG - 1] + 1;
+	uint64_t revision = fleet->revisions[CONFIG_SYNC_CONFIG - 1] + 1;
 	char *text = malloc(size + 128);
 	size_t n = 0;
 
@@ -444,7 +447,7 @@
 	return n;
 }
 
-uint32_t gossip_in_force(const gossip_t *fleet, spread_subject_t subject)
+uint32_t gossip_in_force(const gossip_t *fleet, config_sync_subject_t subject)
 {
 	uint32_t n = 0;
 
--- a/test/gossip.h
+++ b/test/gossip.h
@@ -75,7 +75,7 @@
 void gossip_pause(gossip_t *fleet, uint32_t host, pimento_usec_t span);
 
 /* Publishes a text with the next revision; takes over the allocated text. */
-void gossip_publish(gossip_t *fleet, spread_subject_t subject, char *text);
+void gossip_publish(gossip_t *fleet, config_sync_subject_t subject, char *text);
 
 /* Publishes the hosts that are up; leaving ones by their own word. */
 void gossip_publish_hosts(gossip_t *fleet);
@@ -84,7 +84,7 @@
 char *gossip_config(gossip_t *fleet, size_t size);
 
 /* Counts hosts that are up and have the published revision in force. */
-uint32_t gossip_in_force(const gossip_t *fleet, spread_subject_t subject);
+uint32_t gossip_in_force(const gossip_t *fleet, config_sync_subject_t subject);
 uint32_t gossip_up(const gossip_t *fleet);
 
 /* Counts pairs of hosts that are up and do not see one another live. */
--- a/test/roster_world.c
+++ b/test/roster_world.c
@@ -71,11 +71,11 @@
 
 static void measure(roster_world_host_t *from, const roster_note_t *note)
 {
-	uint8_t bytes[PACKET_BYTES];
-	packet_t packet = { .kind = PACKET_NOTE };
+	uint8_t bytes[PACKET_BYTES_MAX];
+	packet_t packet = { .kind = PACKET_GOSSIP };
 	int length;
 
-	packet.as.note = *note;
+	packet.as.gossip = *note;
 	length = packet_pack(&packet, bytes, sizeof(bytes));
 	from->bytes += length > 0 ? (uint64_t)length : 0;
 }
--- a/test/test_claim.c
+++ b/test/test_claim.c
@@ -1,5 +1,5 @@
 /*
- * The claim protocol in tables: each row is a short play of two entries, E and
+ * The claim protocol in tables: each row is a short scenario of two entries, E and
  * F, and the witnesses of one key. Every letter pair is one step.
  */
 
@@ -11,124 +11,125 @@
 
 #define WITNESSES 3
 #define ENTRIES 3
-#define STEP (800 * PIMENTO_MSEC)
+#define STEP_TIMEOUT (800 * PIMENTO_MSEC)
 #define RETENTION (3600 * PIMENTO_SEC)
 #define SKEW (5 * PIMENTO_SEC)
 
-typedef struct play {
+typedef struct sim {
 	witness_t witnesses[WITNESSES];
-	uint32_t reach; /* bit per witness: messages get there and back */
+	uint32_t
+		reachable_mask; /* bit per witness: messages get there and back */
 	claim_t claims[ENTRIES];
 	claim_event_t events[ENTRIES];
 	outbox_t out;
-	message_t kept[WITNESSES]; /* held back by the network */
+	message_t delayed[WITNESSES]; /* held back by the network */
 	pimento_usec_t now;
-} play_t;
+} sim_t;
 
 static const pimento_key_t key = { 7, 9 };
 
-static void play_start_witness(play_t *play, int i, uint64_t incarnation)
+static void sim_start_witness(sim_t *sim, int i, uint64_t incarnation)
 {
 	witness_options_t options = {
 		.incarnation = incarnation,
 		.capacity = 16,
 		.retention = RETENTION,
-		.started = play->now,
-		.skew = SKEW,
+		.started = sim->now,
+		.clock_skew_max = SKEW,
 	};
 
-	ck_assert_int_eq(witness_init(&play->witnesses[i], &options), 0);
+	ck_assert_int_eq(witness_init(&sim->witnesses[i], &options), 0);
 }
 
-static void play_entry(play_t *play, int e, uint32_t attempt, uint64_t digest)
+static void sim_init_entry(sim_t *sim, int e, uint32_t attempt, uint64_t digest)
 {
 	claim_options_t options = {
 		.key = key,
 		.witnesses = { .count = WITNESSES, .quorum = 2 },
-		.age = 0,
+		.key_age = 0,
 		.attempt = attempt,
 		.digest = digest,
-		.sequence = (uint64_t)(e + 1) * CLAIM_SEQUENCES,
-		.timeout = STEP,
+		.sequence = (uint64_t)(e + 1) * CLAIM_SEQUENCES_MAX,
+		.timeout = STEP_TIMEOUT,
 	};
 
 	for (int i = 0; i < WITNESSES; i++) {
 		options.witnesses.hosts[i] = (pimento_id_t)i + 1;
 		options.witnesses.incarnations[i] = (uint64_t)i + 101;
 	}
-	ck_assert_int_eq(claim_init(&play->claims[e], &options), 0);
+	ck_assert_int_eq(claim_init(&sim->claims[e], &options), 0);
 }
 
-static void play_init(play_t *play)
+static void sim_init(sim_t *sim)
 {
-	memset(play, 0, sizeof(*play));
-	play->reach = 7;
-	ck_assert_int_eq(outbox_init(&play->out, 64), 0);
+	memset(sim, 0, sizeof(*sim));
+	sim->reachable_mask = 7;
+	ck_assert_int_eq(outbox_init(&sim->out, 64), 0);
 	for (int i = 0; i < WITNESSES; i++)
-		play_start_witness(play, i, (uint64_t)i + 101);
+		sim_start_witness(sim, i, (uint64_t)i + 101);
 	for (int e = 0; e < ENTRIES; e++)
-		play_entry(play, e, 0, 5);
+		sim_init_entry(sim, e, 0, 5);
 }
 
-static void play_finish(play_t *play)
+static void sim_finish(sim_t *sim)
 {
 	for (int i = 0; i < WITNESSES; i++)
-		witness_finish(&play->witnesses[i]);
-	outbox_finish(&play->out);
+		witness_finish(&sim->witnesses[i]);
+	outbox_finish(&sim->out);
 }
 
-static void play_event(play_t *play, int e, claim_event_t event)
+static void sim_record_event(sim_t *sim, int e, claim_event_t event)
 {
-	if (event != CLAIM_NOTHING)
-		play->events[e] = event;
+	if (event != CLAIM_NO_EVENT)
+		sim->events[e] = event;
 }
 
-static int asker(uint64_t sequence)
+static int sender_of(uint64_t sequence)
 {
-	return (int)(sequence / CLAIM_SEQUENCES) - 1;
+	return (int)(sequence / CLAIM_SEQUENCES_MAX) - 1;
 }
 
-static void play_deliver(play_t *play, int w, const message_t *message)
+static void sim_deliver(sim_t *sim, int w, const message_t *message)
 {
-	int e = asker(message->u.claim.sequence);
+	int e = sender_of(message->u.claim.sequence);
 	message_witness_t reply;
 
-	witness_receive(&play->witnesses[w], play->now, &message->u.claim,
+	witness_receive(&sim->witnesses[w], sim->now, &message->u.claim,
 			&reply);
-	play_event(play, e,
-		   claim_receive(&play->claims[e], play->now,
-				 (pimento_id_t)w + 1, &reply, &play->out));
+	sim_record_event(sim, e,
+			 claim_receive(&sim->claims[e], sim->now,
+				       (pimento_id_t)w + 1, &reply, &sim->out));
 }
 
-static void play_run(play_t *play)
+static void sim_deliver_all(sim_t *sim)
 {
 	message_t message;
 	pimento_id_t to;
 
-	while (outbox_take(&play->out, &to, &message)) {
-		if (play->reach & 1U << (to - 1))
-			play_deliver(play, (int)to - 1, &message);
+	while (outbox_take(&sim->out, &to, &message)) {
+		if (sim->reachable_mask & 1U << (to - 1))
+			sim_deliver(sim, (int)to - 1, &message);
 		else
-			play->kept[to - 1] = message;
+			sim->delayed[to - 1] = message;
 	}
 }
 
 /* Lets the time of one step pass for all entries. */
-static void play_wait(play_t *play)
+static void sim_wait_step(sim_t *sim)
 {
 	for (int i = 0; i < 24; i++) {
-		play->now += STEP / 8;
+		sim->now += STEP_TIMEOUT / 8;
 		for (int e = 0; e < ENTRIES; e++)
-			play_event(play, e,
-				   claim_tick(&play->claims[e], play->now,
-					      &play->out));
-		play_run(play);
+			sim_record_event(sim, e,
+					 claim_tick(&sim->claims[e], sim->now,
+						    &sim->out));
+		sim_deliver_all(sim);
 	}
 }
 
-static message_place_t place_of(int e)
+static message_dispatch_t dispatch_of(int e)
 {
-	message_place_t place = {
+	message_dispatch_t dispatch = {
 		.request = { (uint64_t)e + 1, 1 },
 		.endpoint = (pimento_id_t)e + 51,
 		.digest = 5,
@@ -137,90 +138,92 @@
 		.answer = "ok",
 	};
 
-	return place;
+	return dispatch;
 }
 
-/* One step of a play: an action and the entry or witness it is of. */
-static void play_step(play_t *play, char action, int n)
+/* One step of a scenario: an action and the entry or witness it is of. */
+static void sim_step(sim_t *sim, char action, int n)
 {
-	message_place_t place = place_of(n);
+	message_dispatch_t dispatch = dispatch_of(n);
 
 	switch (action) {
 	case 'q':
-		play->claims[n].options.age = play->now;
-		claim_start(&play->claims[n], play->now, &play->out);
+		sim->claims[n].options.key_age = sim->now;
+		claim_start(&sim->claims[n], sim->now, &sim->out);
 		break;
 	case 't':
-		claim_take(&play->claims[n], play->now, &place, &play->out);
+		claim_take(&sim->claims[n], sim->now, &dispatch, &sim->out);
 		break;
 	case 's':
-		claim_seal(&play->claims[n], play->now, &play->out);
+		claim_seal(&sim->claims[n], sim->now, &sim->out);
 		break;
 	case 'd':
-		claim_done(&play->claims[n], play->now, &place, &play->out);
+		claim_complete(&sim->claims[n], sim->now, &dispatch, &sim->out);
 		break;
-	case 'c': /* the link is cut, later messages are kept */
-		play->reach &= ~(1U << n);
+	case 'c': /* the link is cut, later messages are delayed */
+		sim->reachable_mask &= ~(1U << n);
 		return;
 	case 'm': /* the link is mended */
-		play->reach |= 1U << n;
+		sim->reachable_mask |= 1U << n;
 		return;
-	case 'l': /* the message kept last arrives late */
-		play_deliver(play, n, &play->kept[n]);
+	case 'l': /* the message delayed last arrives late */
+		sim_deliver(sim, n, &sim->delayed[n]);
 		break;
 	case 'r': /* restart without memory */
-		witness_finish(&play->witnesses[n]);
-		play_start_witness(play, n, 900);
+		witness_finish(&sim->witnesses[n]);
+		sim_start_witness(sim, n, 900);
 		return;
 	case 'b': /* another body */
-		play_entry(play, n, 0, 6);
+		sim_init_entry(sim, n, 0, 6);
 		return;
 	case 'x': /* the entry dies */
-		memset(&play->claims[n], 0, sizeof(play->claims[n]));
+		memset(&sim->claims[n], 0, sizeof(sim->claims[n]));
 		return;
 	case 'n': /* the caller says: second attempt */
-		play_entry(play, n, 2, 5);
+		sim_init_entry(sim, n, 2, 5);
 		return;
 	case 'f': /* the caller says: first attempt */
-		play_entry(play, n, 1, 5);
+		sim_init_entry(sim, n, 1, 5);
 		return;
 	case 'o': /* the retention passes */
-		play->now += 2 * RETENTION;
+		sim->now += 2 * RETENTION;
 		return;
 	case 'w':
-		play_wait(play);
+		sim_wait_step(sim);
 		return;
 	default:
 		ck_abort();
 	}
-	play_run(play);
+	sim_deliver_all(sim);
 }
 
 static const struct {
 	const char *name;
 	const char *steps;
 	claim_event_t want[ENTRIES];
-} plays[] = {
+} scenarios[] = {
 	{ "alone", "q0 t0", { CLAIM_WON } },
 	{ "alone, one witness gone", "c2 q0 t0", { CLAIM_WON } },
 	{ "too few witnesses", "c1 c2 q0 w0", { CLAIM_NO_QUORUM } },
 	{ "repeat finds the claim", "q0 t0 q1", { CLAIM_WON, CLAIM_HELD } },
 	{ "both query first", "q0 q1 t0 t1", { CLAIM_WON, CLAIM_HELD } },
 	{ "done is kept", "q0 t0 d0 q1", { CLAIM_WON, CLAIM_HELD } },
-	{ "sealed, tried again", "q0 s0 q1 t1", { CLAIM_GIVEN_UP, CLAIM_WON } },
+	{ "sealed, tried again", "q0 s0 q1 t1", { CLAIM_NOT_RUN, CLAIM_WON } },
 	{ "sealed by another",
 	  "q0 q1 s1 t0",
-	  { CLAIM_GIVEN_UP, CLAIM_GIVEN_UP } },
-	{ "no seal without a quorum", "q0 c1 c2 s0 w0", { CLAIM_DOUBT } },
+	  { CLAIM_NOT_RUN, CLAIM_NOT_RUN } },
+	{ "no seal without a quorum",
+	  "q0 c1 c2 s0 w0",
+	  { CLAIM_MAY_HAVE_RUN } },
 	{ "a take that comes after the seal",
 	  "q0 c0 t0 s0 m0 l0 q1 t1",
-	  { CLAIM_GIVEN_UP, CLAIM_WON } },
+	  { CLAIM_NOT_RUN, CLAIM_WON } },
 	{ "won but never dispatched",
 	  "q0 t0 s0 q1 t1",
-	  { CLAIM_GIVEN_UP, CLAIM_WON } },
+	  { CLAIM_NOT_RUN, CLAIM_WON } },
 	{ "each holds one, both withdraw",
 	  "q0 q1 c2 c1 t0 m1 c0 t1 m0 w0",
-	  { CLAIM_GIVEN_UP, CLAIM_GIVEN_UP } },
+	  { CLAIM_NOT_RUN, CLAIM_NOT_RUN } },
 	{ "a forgetful witness never counts",
 	  "q0 c2 t0 r1 m2 q1 w0",
 	  { CLAIM_WON, CLAIM_HELD } },
@@ -229,28 +232,28 @@
 	  { CLAIM_WON, CLAIM_HELD } },
 	{ "a witness that missed the seal is told again",
 	  "q0 t0 c0 s0 m0 w0 c1 q1 t1",
-	  { CLAIM_GIVEN_UP, CLAIM_WON } },
+	  { CLAIM_NOT_RUN, CLAIM_WON } },
 	{ "another body, running",
 	  "b1 q0 t0 q1",
 	  { CLAIM_WON, CLAIM_MISMATCH } },
 	{ "a caller's attempt is not raised",
 	  "f1 q0 s0 q1",
-	  { CLAIM_GIVEN_UP, CLAIM_GIVEN_UP } },
+	  { CLAIM_NOT_RUN, CLAIM_NOT_RUN } },
 	{ "a caller's next attempt",
 	  "f0 q0 s0 n1 q1 t1",
-	  { CLAIM_GIVEN_UP, CLAIM_WON } },
+	  { CLAIM_NOT_RUN, CLAIM_WON } },
 	{ "an old attempt after a newer one ran",
 	  "n0 q0 t0 f1 q1",
 	  { CLAIM_WON, CLAIM_HELD } },
 	{ "cannot be resumed, has won",
 	  "q0 t0 q1 s1 w0",
-	  { CLAIM_WON, CLAIM_DOUBT } },
+	  { CLAIM_WON, CLAIM_MAY_HAVE_RUN } },
 	{ "cannot be resumed, never won",
 	  "q0 c1 c2 t0 x0 m1 m2 q1 w0 s1 w0 q2 t2",
-	  { CLAIM_FREE, CLAIM_GIVEN_UP, CLAIM_WON } },
+	  { CLAIM_FREE, CLAIM_NOT_RUN, CLAIM_WON } },
 	{ "a replayed take after all is over",
 	  "q0 c2 t0 s0 m2 l2 q1 t1",
-	  { CLAIM_GIVEN_UP, CLAIM_WON } },
+	  { CLAIM_NOT_RUN, CLAIM_WON } },
 	{ "another endpoint before the dispatch",
 	  "q0 t0 t0 q1",
 	  { CLAIM_WON, CLAIM_HELD } },
@@ -262,19 +265,20 @@
 	  { CLAIM_WON, CLAIM_NO_QUORUM } },
 };
 
-START_TEST(short_plays)
+START_TEST(at_most_one_dispatch_per_key)
 {
-	play_t play;
-	const char *step = plays[_i].steps;
+	sim_t sim;
+	const char *step = scenarios[_i].steps;
 
-	play_init(&play);
+	sim_init(&sim);
 	for (; *step; step += step[2] ? 3 : 2)
-		play_step(&play, step[0], step[1] - '0');
+		sim_step(&sim, step[0], step[1] - '0');
 	for (int e = 0; e < ENTRIES; e++)
-		ck_assert_msg(play.events[e] == plays[_i].want[e],
-			      "%s: entry %d: event %d, want %d", plays[_i].name,
-			      e, play.events[e], plays[_i].want[e]);
-	play_finish(&play);
+		ck_assert_msg(sim.events[e] == scenarios[_i].want[e],
+			      "%s: entry %d: event %d, want %d",
+			      scenarios[_i].name, e, sim.events[e],
+			      scenarios[_i].want[e]);
+	sim_finish(&sim);
 }
 END_TEST
 
@@ -288,10 +292,10 @@
 	const char *name;
 	int64_t started;
 	int64_t adopted;
-	int64_t age; /* -1: the key carries no birth */
+	int64_t age; /* -1: the key carries no time */
 	bool other_list;
 	int answer;
-} ages[] = {
+} abstain_cases[] = {
 	{ "here for long", -9000, -9000, 10, false, PIMENTO_OK },
 	{ "started after the birth", -5, -5, 10, false, PIMENTO_ESTALE },
 	{ "started before, within the margin", -12, -12, 10, false,
@@ -309,8 +313,8 @@
 	  PIMENTO_OK },
 };
 
-static void make_list(hostlist_t *list, hostlist_host_t hosts[5],
-		      pimento_id_t first)
+static void make_hostlist(hostlist_t *list, hostlist_host_t hosts[5],
+			  pimento_id_t first)
 {
 	memset(hosts, 0, 5 * sizeof(*hosts));
 	for (pimento_id_t i = 0; i < 5; i++)
@@ -319,37 +323,40 @@
 	list->hosts = hosts;
 }
 
-START_TEST(own_keys_by_age)
+START_TEST(witness_abstains_from_keys_older_than_its_memory)
 {
 	pimento_usec_t now = 20000 * PIMENTO_SEC;
 	witness_options_t options = {
 		.incarnation = 3,
 		.capacity = 4,
 		.retention = RETENTION,
-		.started = now + ages[_i].started * PIMENTO_SEC,
-		.skew = SKEW,
+		.started = now + abstain_cases[_i].started * PIMENTO_SEC,
+		.clock_skew_max = SKEW,
 	};
-	message_claim_t question = { .op = CLAIM_TAKE,
-				     .key = key,
-				     .attempt = 1 };
+	message_claim_t msg = { .op = CLAIM_TAKE, .key = key, .attempt = 1 };
 	message_witness_t reply;
 	hostlist_host_t hosts[5];
 	hostlist_t list = { .revision = 1 };
 	witness_set_t set;
 	witness_t witness;
-	int64_t birth;
+	int64_t created_ms;
 
-	make_list(&list, hosts, 1);
+	make_hostlist(&list, hosts, 1);
 	ck_assert_int_eq(witness_init(&witness, &options), 0);
-	witness_view(&witness, now + ages[_i].adopted * PIMENTO_SEC, &list, 2);
-	make_list(&list, hosts, ages[_i].other_list ? 2 : 1);
-	ck_assert_int_eq(keyring_own("k", key, &list, &set, &birth), 0);
-	question.view = set.view;
-	question.age = ages[_i].age == -1 ? CLAIM_AGE_UNKNOWN
-					  : ages[_i].age * PIMENTO_SEC;
-	witness_receive(&witness, now, &question, &reply);
-	ck_assert_msg(reply.answer == ages[_i].answer, "%s: %s", ages[_i].name,
-		      pimento_strerror(reply.answer));
+	witness_adopt_hostlist(&witness,
+			       now + abstain_cases[_i].adopted * PIMENTO_SEC,
+			       &list, 2);
+	make_hostlist(&list, hosts, abstain_cases[_i].other_list ? 2 : 1);
+	ck_assert_int_eq(
+		idem_key_select_witnesses("k", key, &list, &set, &created_ms),
+		0);
+	msg.witness_set_hash = set.set_hash;
+	msg.key_age = abstain_cases[_i].age == -1
+			      ? CLAIM_AGE_UNKNOWN
+			      : abstain_cases[_i].age * PIMENTO_SEC;
+	witness_receive(&witness, now, &msg, &reply);
+	ck_assert_msg(reply.result == abstain_cases[_i].answer, "%s: %s",
+		      abstain_cases[_i].name, pimento_strerror(reply.result));
 	witness_finish(&witness);
 }
 END_TEST
@@ -359,33 +366,33 @@
  * never thrown out for a new one, or its request could run again; the new key
  * is refused instead, and its refusal can still be made certain.
  */
-START_TEST(full_table_refuses)
+START_TEST(full_table_refuses_instead_of_evicting)
 {
 	witness_options_t options = { .incarnation = 3,
 				      .capacity = 16,
 				      .retention = RETENTION,
-				      .skew = SKEW };
-	message_claim_t question = { .op = CLAIM_TAKE,
-				     .incarnation = 3,
-				     .attempt = 1 };
+				      .clock_skew_max = SKEW };
+	message_claim_t msg = { .op = CLAIM_TAKE,
+				.incarnation = 3,
+				.attempt = 1 };
 	message_witness_t reply;
 	witness_t witness;
 	int taken = 0;
 
 	ck_assert_int_eq(witness_init(&witness, &options), 0);
 	for (uint64_t i = 1; i <= 32; i++) {
-		question.key.lo = i;
-		witness_receive(&witness, 0, &question, &reply);
-		taken += reply.answer == PIMENTO_OK;
+		msg.key.lo = i;
+		witness_receive(&witness, 0, &msg, &reply);
+		taken += reply.result == PIMENTO_OK;
 	}
 	ck_assert_int_eq(taken, 14);
-	ck_assert_int_eq(reply.answer, PIMENTO_EFULL);
-	question.op = CLAIM_SEAL;
-	witness_receive(&witness, 0, &question, &reply);
-	ck_assert_int_eq(reply.answer, PIMENTO_OK);
-	question.key.lo = 1;
-	question.op = CLAIM_QUERY;
-	witness_receive(&witness, 0, &question, &reply);
+	ck_assert_int_eq(reply.result, PIMENTO_EFULL);
+	msg.op = CLAIM_SEAL;
+	witness_receive(&witness, 0, &msg, &reply);
+	ck_assert_int_eq(reply.result, PIMENTO_OK);
+	msg.key.lo = 1;
+	msg.op = CLAIM_QUERY;
+	witness_receive(&witness, 0, &msg, &reply);
 	ck_assert_uint_eq(reply.attempt, 1);
 	/* After the retention there is room again. */
 	witness_tick(&witness, 2 * RETENTION);
@@ -394,7 +401,7 @@
 }
 END_TEST
 
-static const uint8_t secret[KEYRING_SECRET] = { 1, 2, 3 };
+static const uint8_t secret[IDEM_KEY_SECRET_BYTES] = { 1, 2, 3 };
 
 static const struct {
 	const char *name;
@@ -408,41 +415,42 @@
 	{ "cut off", 0, PIMENTO_EPARSE },
 };
 
-static char other(char c)
+static char other_char(char c)
 {
 	return c == 'A' ? 'B' : 'A';
 }
 
-START_TEST(issued_keys)
+START_TEST(altered_issued_key_is_rejected)
 {
 	witness_set_t set = { .count = 3,
 			      .quorum = 2,
 			      .hosts = { 5, 6, 7 },
 			      .incarnations = { 15, 16, 17 } };
-	char text[KEYRING_TEXT_MAX];
+	char text[IDEM_KEY_TEXT_MAX];
 	witness_set_t read;
-	int64_t birth;
-	int length = keyring_issue(secret, &set, 1234, 99, text);
+	int64_t created_ms;
+	int length = idem_key_issue(secret, &set, 1234, 99, text);
 
 	ck_assert_int_gt(length, 0);
-	ck_assert(keyring_issued(text));
+	ck_assert(idem_key_is_issued(text));
 	if (issued_cases[_i].at == 0)
 		text[length - 1] = 0;
 	if (issued_cases[_i].at > 0)
-		text[issued_cases[_i].at] = other(text[issued_cases[_i].at]);
-	ck_assert_int_eq(keyring_read(secret, text, &read, &birth),
+		text[issued_cases[_i].at] =
+			other_char(text[issued_cases[_i].at]);
+	ck_assert_int_eq(idem_key_parse(secret, text, &read, &created_ms),
 			 issued_cases[_i].result);
 	if (issued_cases[_i].result)
 		return;
-	ck_assert_int_eq(birth, 1234);
+	ck_assert_int_eq(created_ms, 1234);
 	ck_assert_mem_eq(&read, &set, sizeof(set));
 }
 END_TEST
 
 static const struct {
 	const char *text;
-	int64_t birth;
-} births[] = {
+	int64_t created_ms;
+} uuid_cases[] = {
 	{ "017f22e2-79b0-7cc3-98c4-dc0c0c07398f", 0x017f22e279b0 },
 	{ "017F22E2-79B0-7CC3-98C4-DC0C0C07398F", 0x017f22e279b0 },
 	{ "017f22e2-79b0-4cc3-98c4-dc0c0c07398f", -1 },
@@ -451,23 +459,25 @@
 	{ "order-4711", -1 },
 };
 
-START_TEST(own_keys_birth)
+START_TEST(uuid7_key_gives_its_creation_time)
 {
 	hostlist_host_t hosts[5];
 	hostlist_t list = { .revision = 1 };
 	witness_set_t set;
-	int64_t birth;
+	int64_t created_ms;
 
-	make_list(&list, hosts, 1);
-	ck_assert_int_eq(keyring_own(births[_i].text, key, &list, &set, &birth),
+	make_hostlist(&list, hosts, 1);
+	ck_assert_int_eq(idem_key_select_witnesses(uuid_cases[_i].text, key,
+						   &list, &set, &created_ms),
 			 0);
-	ck_assert_int_eq(birth, births[_i].birth);
+	ck_assert_int_eq(created_ms, uuid_cases[_i].created_ms);
 	ck_assert_uint_eq(set.count, 5);
 	ck_assert_uint_eq(set.quorum, 4);
 	hosts[0].leaving = true;
 	hosts[1].endpoint = true;
 	list.count = 4;
-	ck_assert_int_eq(keyring_own(births[_i].text, key, &list, &set, &birth),
+	ck_assert_int_eq(idem_key_select_witnesses(uuid_cases[_i].text, key,
+						   &list, &set, &created_ms),
 			 PIMENTO_ENOQUORUM);
 }
 END_TEST
@@ -482,11 +492,12 @@
 	SRunner *runner;
 	int failed;
 
-	LOOP(tc, short_plays, plays);
-	LOOP(tc, own_keys_by_age, ages);
-	tcase_add_test(tc, full_table_refuses);
-	LOOP(tc, issued_keys, issued_cases);
-	LOOP(tc, own_keys_birth, births);
+	LOOP(tc, at_most_one_dispatch_per_key, scenarios);
+	LOOP(tc, witness_abstains_from_keys_older_than_its_memory,
+	     abstain_cases);
+	tcase_add_test(tc, full_table_refuses_instead_of_evicting);
+	LOOP(tc, altered_issued_key_is_rejected, issued_cases);
+	LOOP(tc, uuid7_key_gives_its_creation_time, uuid_cases);
 	suite_add_tcase(suite, tc);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_claim_random.c
+++ b/test/test_claim_random.c
@@ -19,19 +19,24 @@
 #define LISTS 4
 #define CAPACITY 8
 #define ENTRIES_MAX 5
-#define FLIGHTS_MAX 4096
+#define DELIVERIES_MAX 4096
 #define SCHEDULES_DEFAULT 20000
 #define STEPS_MAX 3000
 
 #define RETENTION (600 * PIMENTO_SEC)
 #define SKEW (5 * PIMENTO_SEC)
 #define TIMEOUT PIMENTO_SEC
-#define BEGIN (10 * RETENTION)
+#define START_TIME (10 * RETENTION)
 
-typedef enum kind { ISSUED, OWN_WITH_BIRTH, OWN_WITHOUT_BIRTH, KINDS } kind_t;
+typedef enum key_kind {
+	ISSUED,
+	CLIENT_UUID7,
+	CLIENT_OPAQUE,
+	KEY_KINDS
+} key_kind_t;
 
 typedef enum action {
-	NOTHING,
+	NO_ACTION,
 	START,
 	TAKE,
 	SEAL,
@@ -44,36 +49,36 @@
 	uint32_t list; /* in force here */
 } host_t;
 
-typedef struct caller {
+typedef struct entry {
 	claim_t claim;
 	action_t action;
 	pimento_usec_t when; /* of the action */
 	pimento_usec_t paused; /* until then */
 	pimento_usec_t clock; /* how much its clock is ahead */
 	uint64_t digest;
-	uint32_t asked; /* attempt that the caller named, 0 none */
+	uint32_t requested_attempt; /* attempt that the caller named, 0 none */
 	bool dead;
 	bool dispatched;
-} caller_t;
+} entry_t;
 
-typedef struct flight {
+typedef struct delivery {
 	pimento_usec_t at;
 	uint32_t to; /* host, or entry for a reply */
 	uint32_t from;
 	bool reply;
 	message_t *message;
-} flight_t;
+} delivery_t;
 
 typedef struct run {
 	uint64_t seed;
 	pimento_random_t random;
-	kind_t kind;
-	uint32_t loss; /* percent of messages */
-	uint32_t slow; /* percent of spans that exceed a step */
-	uint32_t calm; /* steps between faults, about */
+	key_kind_t kind;
+	uint32_t loss_percent; /* percent of messages */
+	uint32_t slow_percent; /* percent of spans that exceed a step */
+	uint32_t fault_interval; /* steps between faults, about */
 	pimento_key_t key;
 	pimento_usec_t now;
-	pimento_usec_t birth;
+	pimento_usec_t created;
 	pimento_usec_t end;
 	host_t hosts[HOSTS];
 	uint64_t incarnations;
@@ -81,49 +86,49 @@
 	hostlist_t lists[LISTS];
 	witness_set_t issued;
 	uint32_t count;
-	caller_t callers[ENTRIES_MAX];
+	entry_t entries[ENTRIES_MAX];
 	outbox_t out;
-	flight_t flights[FLIGHTS_MAX];
-	uint32_t flying;
+	delivery_t deliveries[DELIVERIES_MAX];
+	uint32_t delivery_count;
 	int winner; /* entry that dispatched, -1 none */
-	uint32_t not_run; /* highest attempt of which it was said */
+	uint32_t not_run_attempt; /* highest attempt of which it was said */
 } run_t;
 
 /* Counted over all schedules. */
 static struct {
-	uint64_t steps, lost, doubled, late, restarts, pauses, deaths, lists,
-		bodies, full, dispatches, given_up, held, doubt, no_quorum,
-		expired, mismatch;
-} total;
+	uint64_t steps, lost, duplicated, late, restarts, pauses, deaths, lists,
+		wrong_bodies, full, dispatches, not_run, held, may_have_run,
+		no_quorum, expired, mismatch;
+} counters;
 
 static bool chance(run_t *run, uint32_t percent)
 {
 	return pimento_random_below(&run->random, 100) < percent;
 }
 
-static pimento_usec_t below(run_t *run, pimento_usec_t span)
+static pimento_usec_t random_span(run_t *run, pimento_usec_t span)
 {
 	return (pimento_usec_t)pimento_random_below(&run->random,
 						    (uint64_t)span);
 }
 
 /* Mostly short; now and then longer than a step, or than the retention. */
-static pimento_usec_t some_time(run_t *run)
+static pimento_usec_t random_delay(run_t *run)
 {
-	if (!chance(run, run->slow))
-		return below(run, 300 * PIMENTO_MSEC);
-	if (chance(run, 70) || run->kind == OWN_WITHOUT_BIRTH)
-		return below(run, 60 * PIMENTO_SEC);
-	return below(run, 2 * RETENTION);
+	if (!chance(run, run->slow_percent))
+		return random_span(run, 300 * PIMENTO_MSEC);
+	if (chance(run, 70) || run->kind == CLIENT_OPAQUE)
+		return random_span(run, 60 * PIMENTO_SEC);
+	return random_span(run, 2 * RETENTION);
 }
 
-static void violated(const run_t *run, const char *what)
+static void fail_property(const run_t *run, const char *what)
 {
 	ck_abort_msg("%s\nrun again: SEED=%llu build/test/test_claim_random",
 		     what, (unsigned long long)run->seed);
 }
 
-static void witness_begin(run_t *run, uint32_t h, pimento_usec_t started)
+static void start_witness(run_t *run, uint32_t h, pimento_usec_t started)
 {
 	host_t *host = &run->hosts[h];
 	witness_options_t options = {
@@ -131,15 +136,16 @@
 		.capacity = CAPACITY,
 		.retention = RETENTION,
 		.started = started,
-		.skew = SKEW,
+		.clock_skew_max = SKEW,
 	};
 
 	ck_assert_int_eq(witness_init(&host->witness, &options), 0);
-	witness_view(&host->witness, started, &run->lists[host->list], h + 1);
+	witness_adopt_hostlist(&host->witness, started, &run->lists[host->list],
+			       h + 1);
 }
 
 /* Each list replaces one or two hosts of the one before it. */
-static void make_lists(run_t *run)
+static void make_hostlists(run_t *run)
 {
 	uint32_t first = 0;
 
@@ -156,7 +162,7 @@
 	}
 }
 
-static uint32_t lists_lowest(const run_t *run)
+static uint32_t oldest_list_in_use(const run_t *run)
 {
 	uint32_t lowest = LISTS;
 
@@ -167,7 +173,7 @@
 	return lowest;
 }
 
-static void issue(run_t *run)
+static void issue_key(run_t *run)
 {
 	run->issued.count = 3;
 	run->issued.quorum = 2;
@@ -178,16 +184,16 @@
 	}
 }
 
-static void caller_init(run_t *run, caller_t *caller)
+static void entry_init(run_t *run, entry_t *entry)
 {
-	memset(caller, 0, sizeof(*caller));
-	caller->action = START;
-	caller->when = run->now + some_time(run);
-	caller->clock = below(run, 2 * SKEW + 1) - SKEW;
-	caller->digest = 77;
+	memset(entry, 0, sizeof(*entry));
+	entry->action = START;
+	entry->when = run->now + random_delay(run);
+	entry->clock = random_span(run, 2 * SKEW + 1) - SKEW;
+	entry->digest = 77;
 	if (chance(run, 5)) {
-		caller->digest = 78;
-		total.bodies++;
+		entry->digest = 78;
+		counters.wrong_bodies++;
 	}
 }
 
@@ -196,295 +202,302 @@
 	memset(run, 0, sizeof(*run));
 	run->seed = seed;
 	pimento_random_init(&run->random, seed);
-	run->kind = (kind_t)pimento_random_below(&run->random, KINDS);
-	run->loss = (uint32_t)pimento_random_below(&run->random, 25);
-	run->slow = (uint32_t)pimento_random_below(&run->random, 30);
+	run->kind = (key_kind_t)pimento_random_below(&run->random, KEY_KINDS);
+	run->loss_percent = (uint32_t)pimento_random_below(&run->random, 25);
+	run->slow_percent = (uint32_t)pimento_random_below(&run->random, 30);
 	if (chance(run, 10))
-		run->slow = 60;
-	run->calm = 1 + (uint32_t)pimento_random_below(&run->random, 60);
+		run->slow_percent = 60;
+	run->fault_interval =
+		1 + (uint32_t)pimento_random_below(&run->random, 60);
 	run->key = (pimento_key_t){ pimento_random_next(&run->random), seed };
 	run->winner = -1;
 	ck_assert_int_eq(outbox_init(&run->out, 64), 0);
-	make_lists(run);
+	make_hostlists(run);
 	for (uint32_t h = 0; h < HOSTS; h++) {
 		/* Some have the second list when the key is born. */
 		run->hosts[h].list = chance(run, 25);
-		witness_begin(run, h, 0);
+		start_witness(run, h, 0);
 	}
-	run->now = BEGIN;
-	run->birth = BEGIN;
-	run->end = BEGIN + (run->kind == OWN_WITHOUT_BIRTH ? RETENTION / 2
-							   : 4 * RETENTION);
-	issue(run);
+	run->now = START_TIME;
+	run->created = START_TIME;
+	run->end = START_TIME +
+		   (run->kind == CLIENT_OPAQUE ? RETENTION / 2 : 4 * RETENTION);
+	issue_key(run);
 	run->count = 2 + (uint32_t)pimento_random_below(&run->random,
 							ENTRIES_MAX - 1);
 	for (uint32_t e = 0; e < run->count; e++)
-		caller_init(run, &run->callers[e]);
+		entry_init(run, &run->entries[e]);
 }
 
 static void run_finish(run_t *run)
 {
-	for (uint32_t i = 0; i < run->flying; i++)
-		free(run->flights[i].message);
+	for (uint32_t i = 0; i < run->delivery_count; i++)
+		free(run->deliveries[i].message);
 	for (uint32_t h = 0; h < HOSTS; h++)
 		witness_finish(&run->hosts[h].witness);
 	outbox_finish(&run->out);
 }
 
-static void fly(run_t *run, const message_t *message, uint32_t from,
-		uint32_t to, bool reply)
+static void send_message(run_t *run, const message_t *message, uint32_t from,
+			 uint32_t to, bool reply)
 {
-	flight_t *flight = &run->flights[run->flying];
+	delivery_t *delivery = &run->deliveries[run->delivery_count];
 	size_t size = message_size(message->kind);
-	pimento_usec_t span = some_time(run);
+	pimento_usec_t span = random_delay(run);
 
-	if (run->flying == FLIGHTS_MAX || chance(run, run->loss)) {
-		total.lost++;
+	if (run->delivery_count == DELIVERIES_MAX ||
+	    chance(run, run->loss_percent)) {
+		counters.lost++;
 		return;
 	}
-	total.late += span > TIMEOUT;
-	flight->at = run->now + span;
-	flight->to = to;
-	flight->from = from;
-	flight->reply = reply;
-	flight->message = malloc(size);
-	memcpy(flight->message, message, size);
-	run->flying++;
+	counters.late += span > TIMEOUT;
+	delivery->at = run->now + span;
+	delivery->to = to;
+	delivery->from = from;
+	delivery->reply = reply;
+	delivery->message = malloc(size);
+	memcpy(delivery->message, message, size);
+	run->delivery_count++;
 }
 
-static void send_once_or_twice(run_t *run, const message_t *message,
-			       uint32_t from, uint32_t to, bool reply)
+static void send_maybe_duplicated(run_t *run, const message_t *message,
+				  uint32_t from, uint32_t to, bool reply)
 {
-	fly(run, message, from, to, reply);
+	send_message(run, message, from, to, reply);
 	if (chance(run, 10)) {
-		total.doubled++;
-		fly(run, message, from, to, reply);
+		counters.duplicated++;
+		send_message(run, message, from, to, reply);
 	}
 }
 
-static void flush(run_t *run, uint32_t e)
+static void flush_outbox(run_t *run, uint32_t e)
 {
 	message_t message;
 	pimento_id_t to;
 
 	while (outbox_take(&run->out, &to, &message))
-		send_once_or_twice(run, &message, e, (uint32_t)to - 1, false);
+		send_maybe_duplicated(run, &message, e, (uint32_t)to - 1,
+				      false);
 }
 
-static message_place_t place_of(const run_t *run, uint32_t e)
+static message_dispatch_t dispatch_of(const run_t *run, uint32_t e)
 {
-	message_place_t place = {
+	message_dispatch_t dispatch = {
 		.request = { 100 + e, 1 },
 		.endpoint = 50 + e,
-		.digest = run->callers[e].digest,
+		.digest = run->entries[e].digest,
 		.status = 200,
 		.answer_size = 3,
 	};
 
-	memset(place.answer, (int)('a' + e), place.answer_size);
-	return place;
+	memset(dispatch.answer, (int)('a' + e), dispatch.answer_size);
+	return dispatch;
 }
 
-static void start(run_t *run, caller_t *caller, uint32_t e)
+static void start_claim(run_t *run, entry_t *entry, uint32_t e)
 {
 	claim_options_t options = {
 		.key = run->key,
 		.witnesses = run->issued,
-		.age = run->now + caller->clock - run->birth,
-		.digest = caller->digest,
-		.sequence = (uint64_t)(e + 1) * CLAIM_SEQUENCES,
+		.key_age = run->now + entry->clock - run->created,
+		.digest = entry->digest,
+		.sequence = (uint64_t)(e + 1) * CLAIM_SEQUENCES_MAX,
 		.timeout = TIMEOUT,
 	};
-	uint32_t list = lists_lowest(run);
-	int64_t birth;
+	uint32_t list = oldest_list_in_use(run);
+	int64_t created;
 
 	if (chance(run, 30))
 		options.attempt = 1 + (uint32_t)chance(run, 40);
-	caller->asked = options.attempt;
-	if (run->kind == OWN_WITHOUT_BIRTH)
-		options.age = CLAIM_AGE_UNKNOWN;
+	entry->requested_attempt = options.attempt;
+	if (run->kind == CLIENT_OPAQUE)
+		options.key_age = CLAIM_AGE_UNKNOWN;
 	if (run->kind != ISSUED) {
 		list += (uint32_t)chance(run, 40);
 		if (chance(run, 10) || list == LISTS)
 			list = (uint32_t)pimento_random_below(&run->random,
 							      LISTS);
-		ck_assert_int_eq(keyring_own("own", run->key, &run->lists[list],
-					     &options.witnesses, &birth),
+		ck_assert_int_eq(idem_key_select_witnesses(
+					 "own", run->key, &run->lists[list],
+					 &options.witnesses, &created),
 				 0);
 	}
-	ck_assert_int_eq(claim_init(&caller->claim, &options), 0);
-	claim_start(&caller->claim, run->now, &run->out);
+	ck_assert_int_eq(claim_init(&entry->claim, &options), 0);
+	claim_start(&entry->claim, run->now, &run->out);
 }
 
-static void dispatch(run_t *run, caller_t *caller, uint32_t e)
+static void record_dispatch(run_t *run, entry_t *entry, uint32_t e)
 {
 	if (run->winner >= 0)
-		violated(run, "a second dispatch");
-	if (caller->asked && caller->asked != caller->claim.attempt)
-		violated(run, "dispatched as another attempt than asked");
-	if (caller->claim.attempt <= run->not_run)
-		violated(run, "dispatched after \"not run\" of this attempt");
+		fail_property(run, "a second dispatch");
+	if (entry->requested_attempt &&
+	    entry->requested_attempt != entry->claim.attempt)
+		fail_property(run, "dispatched as another attempt than asked");
+	if (entry->claim.attempt <= run->not_run_attempt)
+		fail_property(run,
+			      "dispatched after \"not run\" of this attempt");
 	run->winner = (int)e;
-	caller->dispatched = true;
-	total.dispatches++;
+	entry->dispatched = true;
+	counters.dispatches++;
 }
 
-static void plan(run_t *run, caller_t *caller, action_t action)
+static void schedule_action(run_t *run, entry_t *entry, action_t action)
 {
-	caller->action = action;
-	caller->when = run->now + some_time(run);
+	entry->action = action;
+	entry->when = run->now + random_delay(run);
 }
 
-static void check_given_up(run_t *run, const caller_t *caller)
+static void check_not_run(run_t *run, const entry_t *entry)
 {
-	uint32_t attempt = caller->claim.attempt;
+	uint32_t attempt = entry->claim.attempt;
 
-	total.given_up++;
+	counters.not_run++;
 	if (run->winner >= 0 &&
-	    run->callers[run->winner].claim.attempt <= attempt)
-		violated(run, "\"not run\" after the dispatch of this attempt");
-	if (run->not_run < attempt)
-		run->not_run = attempt;
+	    run->entries[run->winner].claim.attempt <= attempt)
+		fail_property(run,
+			      "\"not run\" after the dispatch of this attempt");
+	if (run->not_run_attempt < attempt)
+		run->not_run_attempt = attempt;
 }
 
-static void check_held(run_t *run, const caller_t *caller)
+static void check_held(run_t *run, const entry_t *entry)
 {
-	const message_place_t *held = &caller->claim.held;
-	message_place_t want;
+	const message_dispatch_t *held = &entry->claim.held;
+	message_dispatch_t want;
 
-	total.held++;
-	if (held->digest != caller->digest)
-		violated(run, "the answer to another body");
+	counters.held++;
+	if (held->digest != entry->digest)
+		fail_property(run, "the answer to another body");
 	if (!held->done)
 		return;
 	if (run->winner < 0)
-		violated(run, "an outcome without a dispatch");
-	want = place_of(run, (uint32_t)run->winner);
+		fail_property(run, "an outcome without a dispatch");
+	want = dispatch_of(run, (uint32_t)run->winner);
 	if (held->answer_size != want.answer_size ||
 	    memcmp(held->answer, want.answer, want.answer_size) != 0)
-		violated(run, "not the whole answer of the dispatch");
+		fail_property(run, "not the whole answer of the dispatch");
 }
 
 /* An outcome that is known makes "not run" true of any other body. */
-static void check_mismatch(run_t *run, const caller_t *caller)
+static void check_mismatch(run_t *run, const entry_t *entry)
 {
-	total.mismatch++;
-	if (caller->claim.held.done &&
+	counters.mismatch++;
+	if (entry->claim.held.done &&
 	    (run->winner < 0 ||
-	     run->callers[run->winner].digest == caller->digest))
-		violated(run, "a mismatch with the body that ran");
+	     run->entries[run->winner].digest == entry->digest))
+		fail_property(run, "a mismatch with the body that ran");
 }
 
-static void learn(run_t *run, caller_t *caller, claim_event_t event)
+static void handle_event(run_t *run, entry_t *entry, claim_event_t event)
 {
 	switch (event) {
 	case CLAIM_FREE:
-		plan(run, caller, chance(run, 80) ? TAKE : SEAL);
+		schedule_action(run, entry, chance(run, 80) ? TAKE : SEAL);
 		return;
 	case CLAIM_WON:
-		plan(run, caller, chance(run, 10) ? TAKE : DISPATCH);
+		schedule_action(run, entry, chance(run, 10) ? TAKE : DISPATCH);
 		if (chance(run, 15))
-			caller->action = SEAL;
+			entry->action = SEAL;
 		return;
 	case CLAIM_HELD:
-		check_held(run, caller);
+		check_held(run, entry);
 		if (chance(run, 50))
-			plan(run, caller, SEAL);
+			schedule_action(run, entry, SEAL);
 		return;
-	case CLAIM_GIVEN_UP:
-		check_given_up(run, caller);
+	case CLAIM_NOT_RUN:
+		check_not_run(run, entry);
 		return;
 	case CLAIM_MISMATCH:
-		check_mismatch(run, caller);
+		check_mismatch(run, entry);
 		return;
-	case CLAIM_DOUBT:
-		total.doubt++;
+	case CLAIM_MAY_HAVE_RUN:
+		counters.may_have_run++;
 		return;
 	case CLAIM_NO_QUORUM:
-		total.no_quorum++;
+		counters.no_quorum++;
 		return;
 	case CLAIM_EXPIRED:
-		total.expired++;
+		counters.expired++;
 		return;
-	case CLAIM_NOTHING:
+	case CLAIM_NO_EVENT:
 	default:
 		return;
 	}
 }
 
-static void act(run_t *run, uint32_t e)
+static void run_action(run_t *run, uint32_t e)
 {
-	caller_t *caller = &run->callers[e];
-	message_place_t place = place_of(run, e);
-	action_t action = caller->action;
+	entry_t *entry = &run->entries[e];
+	message_dispatch_t dispatch = dispatch_of(run, e);
+	action_t action = entry->action;
 
-	caller->action = NOTHING;
+	entry->action = NO_ACTION;
 	switch (action) {
 	case START:
-		start(run, caller, e);
+		start_claim(run, entry, e);
 		break;
 	case TAKE:
-		place.endpoint += (pimento_id_t)chance(run, 50);
-		claim_take(&caller->claim, run->now, &place, &run->out);
+		dispatch.endpoint += (pimento_id_t)chance(run, 50);
+		claim_take(&entry->claim, run->now, &dispatch, &run->out);
 		break;
 	case SEAL:
-		claim_seal(&caller->claim, run->now, &run->out);
+		claim_seal(&entry->claim, run->now, &run->out);
 		break;
 	case DISPATCH:
-		dispatch(run, caller, e);
-		plan(run, caller, chance(run, 80) ? DONE : NOTHING);
+		record_dispatch(run, entry, e);
+		schedule_action(run, entry, chance(run, 80) ? DONE : NO_ACTION);
 		break;
 	case DONE:
-		claim_done(&caller->claim, run->now, &place, &run->out);
+		claim_complete(&entry->claim, run->now, &dispatch, &run->out);
 		break;
-	case NOTHING:
+	case NO_ACTION:
 	default:
 		break;
 	}
-	flush(run, e);
+	flush_outbox(run, e);
 }
 
-static void deliver_question(run_t *run, const flight_t *flight)
+static void deliver_request(run_t *run, const delivery_t *delivery)
 {
 	message_t answer = { .kind = MESSAGE_WITNESS };
-	witness_t *witness = &run->hosts[flight->to].witness;
+	witness_t *witness = &run->hosts[delivery->to].witness;
 
-	witness_receive(witness, run->now, &flight->message->u.claim,
+	witness_receive(witness, run->now, &delivery->message->u.claim,
 			&answer.u.witness);
-	total.full += answer.u.witness.answer == PIMENTO_EFULL;
+	counters.full += answer.u.witness.result == PIMENTO_EFULL;
 	if (witness->count > witness->options.capacity)
-		violated(run, "more records than the capacity");
-	send_once_or_twice(run, &answer, flight->to, flight->from, true);
+		fail_property(run, "more records than the capacity");
+	send_maybe_duplicated(run, &answer, delivery->to, delivery->from, true);
 }
 
-static void deliver_reply(run_t *run, const flight_t *flight)
+static void deliver_reply(run_t *run, const delivery_t *delivery)
 {
-	caller_t *caller = &run->callers[flight->to];
+	entry_t *entry = &run->entries[delivery->to];
 
-	learn(run, caller,
-	      claim_receive(&caller->claim, run->now,
-			    (pimento_id_t)flight->from + 1,
-			    &flight->message->u.witness, &run->out));
-	flush(run, flight->to);
+	handle_event(run, entry,
+		     claim_receive(&entry->claim, run->now,
+				   (pimento_id_t)delivery->from + 1,
+				   &delivery->message->u.witness, &run->out));
+	flush_outbox(run, delivery->to);
 }
 
 static void deliver(run_t *run, uint32_t index)
 {
-	flight_t flight = run->flights[index];
+	delivery_t delivery = run->deliveries[index];
 
-	run->flights[index] = run->flights[--run->flying];
-	if (!flight.reply)
-		deliver_question(run, &flight);
-	else if (!run->callers[flight.to].dead)
-		deliver_reply(run, &flight);
-	free(flight.message);
+	run->deliveries[index] = run->deliveries[--run->delivery_count];
+	if (!delivery.reply)
+		deliver_request(run, &delivery);
+	else if (!run->entries[delivery.to].dead)
+		deliver_reply(run, &delivery);
+	free(delivery.message);
 }
 
 /* Claims of other keys, so that a table fills up. */
-static void disturb(run_t *run)
+static void fill_table(run_t *run)
 {
 	uint32_t h = (uint32_t)pimento_random_below(&run->random, HOSTS);
-	message_claim_t question = {
+	message_claim_t msg = {
 		.op = CLAIM_TAKE,
 		.incarnation = run->hosts[h].witness.options.incarnation,
 		.attempt = 1,
@@ -492,133 +505,134 @@
 	message_witness_t reply;
 
 	for (int i = 0; i < CAPACITY; i++) {
-		question.op = chance(run, 30) ? CLAIM_SEAL : CLAIM_TAKE;
-		question.key.hi = pimento_random_next(&run->random);
-		witness_receive(&run->hosts[h].witness, run->now, &question,
-				&reply);
+		msg.op = chance(run, 30) ? CLAIM_SEAL : CLAIM_TAKE;
+		msg.key.hi = pimento_random_next(&run->random);
+		witness_receive(&run->hosts[h].witness, run->now, &msg, &reply);
 	}
 }
 
-static void restart(run_t *run)
+static void restart_witness(run_t *run)
 {
 	uint32_t h = (uint32_t)pimento_random_below(&run->random, HOSTS);
 
 	witness_finish(&run->hosts[h].witness);
-	witness_begin(run, h, run->now);
-	total.restarts++;
+	start_witness(run, h, run->now);
+	counters.restarts++;
 }
 
 /* Lists in force at one time are at most two that follow one another. */
-static void adopt(run_t *run)
+static void adopt_next_list(run_t *run)
 {
 	uint32_t h = (uint32_t)pimento_random_below(&run->random, HOSTS);
 	host_t *host = &run->hosts[h];
 
-	if (host->list + 1 == LISTS || host->list > lists_lowest(run))
+	if (host->list + 1 == LISTS || host->list > oldest_list_in_use(run))
 		return;
 	host->list++;
-	witness_view(&host->witness, run->now, &run->lists[host->list], h + 1);
-	total.lists++;
+	witness_adopt_hostlist(&host->witness, run->now,
+			       &run->lists[host->list], h + 1);
+	counters.lists++;
 }
 
-static void some_fault(run_t *run)
+static void inject_fault(run_t *run)
 {
-	caller_t *caller =
-		&run->callers[pimento_random_below(&run->random, run->count)];
+	entry_t *entry =
+		&run->entries[pimento_random_below(&run->random, run->count)];
 
-	if (pimento_random_below(&run->random, run->calm) != 0)
+	if (pimento_random_below(&run->random, run->fault_interval) != 0)
 		return;
 	switch (pimento_random_below(&run->random, 8)) {
 	case 0:
-		restart(run);
+		restart_witness(run);
 		break;
 	case 1:
 	case 2:
-		caller->paused = run->now + some_time(run);
-		total.pauses++;
+		entry->paused = run->now + random_delay(run);
+		counters.pauses++;
 		break;
 	case 3:
-		if (caller->dead || chance(run, 70))
+		if (entry->dead || chance(run, 70))
 			break;
-		caller->dead = true;
-		total.deaths++;
+		entry->dead = true;
+		counters.deaths++;
 		break;
 	case 4:
-		adopt(run);
+		adopt_next_list(run);
 		break;
 	default:
-		disturb(run);
+		fill_table(run);
 		break;
 	}
 }
 
-static pimento_usec_t later(pimento_usec_t a, pimento_usec_t b)
+static pimento_usec_t later_of(pimento_usec_t a, pimento_usec_t b)
 {
 	return a > b ? a : b;
 }
 
-static pimento_usec_t flight_due(const run_t *run, const flight_t *flight)
+static pimento_usec_t delivery_due(const run_t *run, const delivery_t *delivery)
 {
-	if (!flight->reply)
-		return flight->at;
-	return later(flight->at, run->callers[flight->to].paused);
+	if (!delivery->reply)
+		return delivery->at;
+	return later_of(delivery->at, run->entries[delivery->to].paused);
 }
 
-static pimento_usec_t caller_due(const caller_t *caller)
+static pimento_usec_t entry_due(const entry_t *entry)
 {
-	pimento_usec_t due = claim_deadline(&caller->claim);
+	pimento_usec_t due = claim_deadline(&entry->claim);
 
-	if (caller->dead)
+	if (entry->dead)
 		return PIMENTO_NEVER;
-	if (caller->action != NOTHING && caller->when < due)
-		due = caller->when;
-	return due == PIMENTO_NEVER ? due : later(due, caller->paused);
+	if (entry->action != NO_ACTION && entry->when < due)
+		due = entry->when;
+	return due == PIMENTO_NEVER ? due : later_of(due, entry->paused);
 }
 
-static void wake(run_t *run, uint32_t e)
+static void run_entry(run_t *run, uint32_t e)
 {
-	caller_t *caller = &run->callers[e];
+	entry_t *entry = &run->entries[e];
 
-	if (caller->action != NOTHING && caller->when <= run->now) {
-		act(run, e);
+	if (entry->action != NO_ACTION && entry->when <= run->now) {
+		run_action(run, e);
 		return;
 	}
-	learn(run, caller, claim_tick(&caller->claim, run->now, &run->out));
-	flush(run, e);
+	handle_event(run, entry,
+		     claim_tick(&entry->claim, run->now, &run->out));
+	flush_outbox(run, e);
 }
 
 /* A process that wakes reads its messages before it looks at its timers. */
 static bool step(run_t *run)
 {
 	pimento_usec_t due = run->end;
-	int flight = -1;
-	int caller = -1;
+	int delivery = -1;
+	int entry = -1;
 
-	for (uint32_t i = 0; i < run->flying; i++) {
-		if (flight_due(run, &run->flights[i]) < due) {
-			due = flight_due(run, &run->flights[i]);
-			flight = (int)i;
+	for (uint32_t i = 0; i < run->delivery_count; i++) {
+		if (delivery_due(run, &run->deliveries[i]) < due) {
+			due = delivery_due(run, &run->deliveries[i]);
+			delivery = (int)i;
 		}
 	}
 	for (uint32_t e = 0; e < run->count; e++) {
-		if (caller_due(&run->callers[e]) < due) {
-			due = caller_due(&run->callers[e]);
-			caller = (int)e;
+		if (entry_due(&run->entries[e]) < due) {
+			due = entry_due(&run->entries[e]);
+			entry = (int)e;
 		}
 	}
-	if (flight < 0 && caller < 0)
+	if (delivery < 0 && entry < 0)
 		return false;
-	run->now = later(run->now, due);
-	if (caller >= 0)
-		wake(run, (uint32_t)caller);
+	run->now = later_of(run->now, due);
+	if (entry >= 0)
+		run_entry(run, (uint32_t)entry);
 	else
-		deliver(run, (uint32_t)flight);
-	some_fault(run);
-	total.steps++;
+		deliver(run, (uint32_t)delivery);
+	inject_fault(run);
+	counters.steps++;
 	return true;
 }
 
-static void schedule(uint64_t seed)
+static void run_schedule(uint64_t seed)
 {
 	static run_t run;
 
@@ -628,54 +642,56 @@
 	run_finish(&run);
 }
 
-static uint64_t number(const char *name, uint64_t otherwise)
+static uint64_t env_number(const char *name, uint64_t fallback)
 {
 	const char *text = getenv(name);
 
-	return text ? strtoull(text, NULL, 10) : otherwise;
+	return text ? strtoull(text, NULL, 10) : fallback;
 }
 
-static void print_total(uint64_t schedules)
+static void print_counters(uint64_t schedules)
 {
 	printf("%llu schedules, %llu steps; faults: %llu lost, %llu doubled, "
 	       "%llu late, %llu restarts, %llu pauses, %llu deaths, %llu list "
 	       "changes, %llu wrong bodies, %llu full\n",
-	       (unsigned long long)schedules, (unsigned long long)total.steps,
-	       (unsigned long long)total.lost,
-	       (unsigned long long)total.doubled,
-	       (unsigned long long)total.late,
-	       (unsigned long long)total.restarts,
-	       (unsigned long long)total.pauses,
-	       (unsigned long long)total.deaths,
-	       (unsigned long long)total.lists,
-	       (unsigned long long)total.bodies,
-	       (unsigned long long)total.full);
+	       (unsigned long long)schedules,
+	       (unsigned long long)counters.steps,
+	       (unsigned long long)counters.lost,
+	       (unsigned long long)counters.duplicated,
+	       (unsigned long long)counters.late,
+	       (unsigned long long)counters.restarts,
+	       (unsigned long long)counters.pauses,
+	       (unsigned long long)counters.deaths,
+	       (unsigned long long)counters.lists,
+	       (unsigned long long)counters.wrong_bodies,
+	       (unsigned long long)counters.full);
 	printf("ended: %llu dispatched, %llu not run, %llu held, %llu in doubt, "
 	       "%llu no quorum, %llu expired, %llu mismatch\n",
-	       (unsigned long long)total.dispatches,
-	       (unsigned long long)total.given_up,
-	       (unsigned long long)total.held, (unsigned long long)total.doubt,
-	       (unsigned long long)total.no_quorum,
-	       (unsigned long long)total.expired,
-	       (unsigned long long)total.mismatch);
+	       (unsigned long long)counters.dispatches,
+	       (unsigned long long)counters.not_run,
+	       (unsigned long long)counters.held,
+	       (unsigned long long)counters.may_have_run,
+	       (unsigned long long)counters.no_quorum,
+	       (unsigned long long)counters.expired,
+	       (unsigned long long)counters.mismatch);
 }
 
 /*
- * Messages are lost, doubled, reordered and held back beyond every timeout,
+ * Messages are lost, duplicated, reordered and held back beyond every timeout,
  * witnesses restart without memory, entries pause and die, hosts hold
  * different lists, tables fill up. A user would notice a second charge, or a
  * charge after having been told "not run".
  */
-START_TEST(properties_hold)
+START_TEST(at_most_one_dispatch_under_faults)
 {
-	uint64_t schedules = number("SCHEDULES", SCHEDULES_DEFAULT);
-	uint64_t seed = number("SEED", 0);
+	uint64_t schedules = env_number("SCHEDULES", SCHEDULES_DEFAULT);
+	uint64_t seed = env_number("SEED", 0);
 
 	for (uint64_t s = 1; !seed && s <= schedules; s++)
-		schedule(s);
+		run_schedule(s);
 	if (seed)
-		schedule(seed);
-	print_total(seed ? 1 : schedules);
+		run_schedule(seed);
+	print_counters(seed ? 1 : schedules);
 }
 END_TEST
 
@@ -683,7 +699,7 @@
  * Seeds that showed a fault once, in the library or in a copy of it that lacked
  * one rule; none is ever taken out.
  */
-static const uint64_t found[] = {
+static const uint64_t regression_seeds[] = {
 	24, /* the caller's attempt was raised */
 	132, /* quorum of three of five */
 	135, /* a live record was evicted */
@@ -693,9 +709,9 @@
 	79729, /* a reply counted after the step's deadline */
 };
 
-START_TEST(found_seeds)
+START_TEST(seeds_of_past_faults_pass)
 {
-	schedule(found[_i]);
+	run_schedule(regression_seeds[_i]);
 }
 END_TEST
 
@@ -707,9 +723,10 @@
 	int failed;
 
 	tcase_set_timeout(tc, 300);
-	tcase_add_test(tc, properties_hold);
-	tcase_add_loop_test(tc, found_seeds, 0,
-			    sizeof(found) / sizeof(found[0]));
+	tcase_add_test(tc, at_most_one_dispatch_under_faults);
+	tcase_add_loop_test(tc, seeds_of_past_faults_pass, 0,
+			    sizeof(regression_seeds) /
+				    sizeof(regression_seeds[0]));
 	suite_add_tcase(suite, tc);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_gossip.c
+++ b/test/test_gossip.c
@@ -95,7 +95,7 @@
 	case 10:
 	case 11:
 	case 12:
-		gossip_publish(f, SPREAD_CONFIG, gossip_config(f, 3000));
+		gossip_publish(f, CONFIG_SYNC_CONFIG, gossip_config(f, 3000));
 		break;
 	case 13:
 		gossip_publish_hosts(f);
@@ -131,7 +131,7 @@
 	f.loss = pimento_random_unit(&f.random) * 0.2;
 	f.delay_max = 5 * PIMENTO_MSEC;
 	f.straggle = 0.01;
-	gossip_publish(&f, SPREAD_CONFIG, gossip_config(&f, 3000));
+	gossip_publish(&f, CONFIG_SYNC_CONFIG, gossip_config(&f, 3000));
 	gossip_publish_hosts(&f);
 	for (uint32_t i = 0; i < count; i++)
 		gossip_start(&f, i);
@@ -153,11 +153,12 @@
 	ck_assert_msg(!gossip_disputed_owners(&f, ENDPOINTS),
 		      "seed %llu: owners disputed", (unsigned long long)seed);
 	ck_assert_msg(
-		gossip_in_force(&f, SPREAD_CONFIG) == gossip_up(&f) &&
-			gossip_in_force(&f, SPREAD_HOSTS) == gossip_up(&f),
+		gossip_in_force(&f, CONFIG_SYNC_CONFIG) == gossip_up(&f) &&
+			gossip_in_force(&f, CONFIG_SYNC_HOSTS) == gossip_up(&f),
 		"seed %llu: in force at %u and %u of %u",
-		(unsigned long long)seed, gossip_in_force(&f, SPREAD_CONFIG),
-		gossip_in_force(&f, SPREAD_HOSTS), gossip_up(&f));
+		(unsigned long long)seed,
+		gossip_in_force(&f, CONFIG_SYNC_CONFIG),
+		gossip_in_force(&f, CONFIG_SYNC_HOSTS), gossip_up(&f));
 	gossip_finish(&f);
 	free(seen);
 }
@@ -182,7 +183,7 @@
 static void quiet_fleet(gossip_t *f, uint32_t count)
 {
 	gossip_init(f, count, 5);
-	gossip_publish(f, SPREAD_CONFIG, gossip_config(f, 20000));
+	gossip_publish(f, CONFIG_SYNC_CONFIG, gossip_config(f, 20000));
 	gossip_publish_hosts(f);
 	for (uint32_t i = 0; i < count; i++)
 		gossip_start(f, i);
@@ -204,7 +205,7 @@
 
 static uint32_t not_in_force(const gossip_t *f)
 {
-	return gossip_up(f) - gossip_in_force(f, SPREAD_CONFIG);
+	return gossip_up(f) - gossip_in_force(f, CONFIG_SYNC_CONFIG);
 }
 
 /*
@@ -261,7 +262,7 @@
 	gossip_t f;
 
 	gossip_init(&f, 200, 5);
-	gossip_publish(&f, SPREAD_CONFIG, gossip_config(&f, 2000));
+	gossip_publish(&f, CONFIG_SYNC_CONFIG, gossip_config(&f, 2000));
 	gossip_publish_hosts(&f);
 	for (uint32_t i = 0; i < 200; i++)
 		gossip_start(&f, i);
@@ -312,7 +313,8 @@
 	quiet_fleet(&f, sizes[_i]);
 	f.loss = 0.05;
 	for (uint32_t i = 0; i < 20; i++) {
-		gossip_publish(&f, SPREAD_CONFIG, gossip_config(&f, 20000));
+		gossip_publish(&f, CONFIG_SYNC_CONFIG,
+			       gossip_config(&f, 20000));
 		ck_assert_int_lt(until(&f, not_in_force, 60 * PIMENTO_SEC),
 				 3 * PIMENTO_SEC);
 		gossip_run(&f, PIMENTO_SEC);
--- a/test/test_owner.c
+++ b/test/test_owner.c
@@ -48,7 +48,7 @@
 	m.u.reserve.account = account;
 	m.u.reserve.tier = tier;
 	m.u.reserve.hops = hops;
-	m.u.reserve.patience = patience;
+	m.u.reserve.time_left = patience;
 	m.u.reserve.prompt_tokens = 100;
 	m.u.reserve.answer_tokens = 30;
 	ck_assert_int_eq(owner_receive(&owner, now, ENTRY, &m), 0);
@@ -104,7 +104,7 @@
 	int why = 0;
 	uint64_t number = next(&got, &why);
 
-	ck_assert_str_eq(message_name(got), message_name(kind));
+	ck_assert_str_eq(message_kind_name(got), message_kind_name(kind));
 	ck_assert_uint_eq(number, n);
 	ck_assert_int_eq(why, reason);
 }
@@ -212,7 +212,7 @@
 	first.u.progress.round = 1;
 	first.u.progress.endpoint = engine.id;
 	first.u.progress.answer_tokens = 1;
-	first.u.progress.first_token = 25 * PIMENTO_MSEC;
+	first.u.progress.time_to_first_token = 25 * PIMENTO_MSEC;
 	ck_assert_int_eq(owner_receive(&owner, 0, ENTRY, &first), 0);
 	m.u.release.request.lo = 99;
 	m.u.release.round = 1;
@@ -220,8 +220,8 @@
 	m.u.release.outcome = RELEASE_DONE;
 	m.u.release.prompt_tokens = 100;
 	m.u.release.answer_tokens = 30;
-	m.u.release.first_token = 25 * PIMENTO_MSEC;
-	m.u.release.decode = PIMENTO_SEC;
+	m.u.release.time_to_first_token = 25 * PIMENTO_MSEC;
+	m.u.release.decode_time = PIMENTO_SEC;
 	ck_assert_int_eq(owner_receive(&owner, 0, ENTRY, &m), 0);
 }
 
--- a/test/test_roster.c
+++ b/test/test_roster.c
@@ -217,9 +217,9 @@
  */
 START_TEST(a_note_survives_its_encoding)
 {
-	uint8_t bytes[PACKET_BYTES];
+	uint8_t bytes[PACKET_BYTES_MAX];
 	roster_note_t note = note_of(PEER, 123456);
-	packet_t packet = { .kind = PACKET_NOTE };
+	packet_t packet = { .kind = PACKET_GOSSIP };
 	roster_note_t read;
 	int length;
 
@@ -250,11 +250,11 @@
 		note.owned[i] = (roster_owned_t){
 			i, i * PIMENTO_MSEC, { 12, 60, 150000, 2000, true }
 		};
-	packet.as.note = note;
+	packet.as.gossip = note;
 	length = packet_pack(&packet, bytes, sizeof(bytes));
 	ck_assert_int_gt(length, 0);
 	ck_assert_int_eq(packet_unpack(&packet, bytes, (size_t)length), 0);
-	read = packet.as.note;
+	read = packet.as.gossip;
 	ck_assert_uint_eq(read.loads[5].reading, 5000);
 	ck_assert_uint_ge(read.load_count, LOADS_LEAST);
 	ck_assert_uint_eq(read.quota_count, ROSTER_QUOTAS_MAX);
@@ -289,9 +289,9 @@
 /* Guards against hosts that cannot tell of each other after a mass start. */
 START_TEST(a_note_full_of_hosts_survives_its_encoding)
 {
-	uint8_t bytes[PACKET_BYTES];
+	uint8_t bytes[PACKET_BYTES_MAX];
 	roster_note_t note = note_of(PEER, 123456);
-	packet_t packet = { .kind = PACKET_NOTE };
+	packet_t packet = { .kind = PACKET_GOSSIP };
 	int length;
 
 	while (note.membership.count < MESSAGE_FACTS_MAX)
@@ -301,11 +301,11 @@
 	note.reader_count = ROSTER_READERS_MAX;
 	for (uint32_t i = 0; i < ROSTER_READERS_MAX; i++)
 		note.readers[i] = (roster_reader_t){ UINT32_MAX, PIMENTO_SEC };
-	packet.as.note = note;
+	packet.as.gossip = note;
 	length = packet_pack(&packet, bytes, sizeof(bytes));
 	ck_assert_int_gt(length, 0);
 	ck_assert_int_eq(packet_unpack(&packet, bytes, (size_t)length), 0);
-	ck_assert_uint_eq(packet.as.note.membership.count, MESSAGE_FACTS_MAX);
+	ck_assert_uint_eq(packet.as.gossip.membership.count, MESSAGE_FACTS_MAX);
 }
 END_TEST
 
--- a/test/test_route.c
+++ b/test/test_route.c
@@ -55,7 +55,7 @@
 				.decode_rate = decode };
 
 	s.waiting[1] = waiting;
-	s.wait[1] = waiting * 1000;
+	s.wait_ms[1] = waiting * 1000;
 	route_learn(&route, 0, &s);
 }
 
--- a/test/test_slots.c
+++ b/test/test_slots.c
@@ -66,12 +66,13 @@
 
 static void ask(uint64_t ticket, pimento_usec_t now)
 {
-	packet_t packet = { .kind = PACKET_ASK };
+	packet_t packet = { .kind = PACKET_SLOT_REQUEST };
 
-	packet.as.ask = (grants_ask_t){ .endpoint = (uint32_t)endpoint->key,
-					.address = ASKER,
-					.ticket = ticket,
-					.wait = PIMENTO_SEC };
+	packet.as.slot_request =
+		(grants_ask_t){ .endpoint = (uint32_t)endpoint->key,
+				.address = ASKER,
+				.ticket = ticket,
+				.wait = PIMENTO_SEC };
 	slots_take(&slots, &packet, now);
 }
 
@@ -109,16 +110,16 @@
  */
 START_TEST(a_pace_is_learnt_before_a_place_is_given_back)
 {
-	packet_t packet = { .kind = PACKET_RELEASE };
+	packet_t packet = { .kind = PACKET_SLOT_RELEASE };
 
 	for (uint64_t ticket = 1; ticket <= ASKS; ticket++)
 		ask(ticket, NOW);
 	ck_assert_uint_eq(slots.granted, placement_places(service, endpoint));
-	packet.as.release = (packet_release_t){
+	packet.as.slot_release = (packet_slot_release_t){
 		.endpoint = (uint32_t)endpoint->key,
 		.address = ASKER,
 		.gap_us = 160000,
-		.finding = PACE_ANSWERS,
+		.outcome = PACE_ANSWERS,
 	};
 	slots_take(&slots, &packet, NOW);
 	ck_assert_double_eq(endpoint->pace.gap, 160000);
@@ -129,12 +130,12 @@
 /* What hosts tell of a request that ended at an endpoint. */
 static void hear_end(const directory_endpoint_t *of, pace_finding_t finding)
 {
-	packet_t packet = { .kind = PACKET_RELEASE };
+	packet_t packet = { .kind = PACKET_SLOT_RELEASE };
 
-	packet.as.release = (packet_release_t){
+	packet.as.slot_release = (packet_slot_release_t){
 		.endpoint = (uint32_t)of->key,
 		.address = ASKER,
-		.finding = finding,
+		.outcome = finding,
 	};
 	slots_take(&slots, &packet, NOW);
 }
--- a/test/test_spread.c
+++ b/test/test_spread.c
@@ -142,34 +142,35 @@
 	char *text = lines(2000, 9999, &length);
 
 	ck_assert_int_eq(
-		spread_read(&hosts[0], 0, SPREAD_CONFIG, 4, text, length), 0);
-	ck_assert_uint_eq(spread_revision(&hosts[0], SPREAD_CONFIG), 0);
-	spread_judge(&hosts[0], 0, SPREAD_CONFIG, true);
-	spread_heard(&hosts[1], 0, 1, SPREAD_CONFIG, 4);
+		spread_read(&hosts[0], 0, CONFIG_SYNC_CONFIG, 4, text, length),
+		0);
+	ck_assert_uint_eq(spread_revision(&hosts[0], CONFIG_SYNC_CONFIG), 0);
+	spread_judge(&hosts[0], 0, CONFIG_SYNC_CONFIG, true);
+	spread_heard(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 4);
 	deliver(0, &bytes);
 	ck_assert_uint_eq(bytes, length);
-	ck_assert_str_eq(
-		spread_pending(&hosts[1], SPREAD_CONFIG, &revision, &length),
-		text);
+	ck_assert_str_eq(spread_pending(&hosts[1], CONFIG_SYNC_CONFIG,
+					&revision, &length),
+			 text);
 	ck_assert_uint_eq(revision, 4);
-	spread_judge(&hosts[1], 0, SPREAD_CONFIG, true);
+	spread_judge(&hosts[1], 0, CONFIG_SYNC_CONFIG, true);
 	free(text);
 
 	text = lines(2000, 1000, &length);
 	bytes = 0;
-	spread_read(&hosts[0], 0, SPREAD_CONFIG, 5, text, length);
-	spread_judge(&hosts[0], 0, SPREAD_CONFIG, true);
-	spread_heard(&hosts[1], 0, 1, SPREAD_CONFIG, 5);
+	spread_read(&hosts[0], 0, CONFIG_SYNC_CONFIG, 5, text, length);
+	spread_judge(&hosts[0], 0, CONFIG_SYNC_CONFIG, true);
+	spread_heard(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 5);
 	deliver(0, &bytes);
 	ck_assert_uint_lt(bytes, 100);
-	ck_assert_str_eq(
-		spread_pending(&hosts[1], SPREAD_CONFIG, &revision, &length),
-		text);
-	spread_judge(&hosts[1], 0, SPREAD_CONFIG, true);
+	ck_assert_str_eq(spread_pending(&hosts[1], CONFIG_SYNC_CONFIG,
+					&revision, &length),
+			 text);
+	spread_judge(&hosts[1], 0, CONFIG_SYNC_CONFIG, true);
 	ck_assert_int_eq(
-		spread_read(&hosts[1], 0, SPREAD_CONFIG, 4, text, length),
+		spread_read(&hosts[1], 0, CONFIG_SYNC_CONFIG, 4, text, length),
 		PIMENTO_ESTALE);
-	ck_assert_uint_eq(spread_revision(&hosts[1], SPREAD_CONFIG), 5);
+	ck_assert_uint_eq(spread_revision(&hosts[1], CONFIG_SYNC_CONFIG), 5);
 	free(text);
 }
 END_TEST
@@ -184,20 +185,21 @@
 	size_t length;
 	uint64_t revision;
 
-	spread_read(&hosts[0], 0, SPREAD_CONFIG, 3, "bad", 3);
-	spread_judge(&hosts[0], 0, SPREAD_CONFIG, true);
-	spread_heard(&hosts[1], 0, 1, SPREAD_CONFIG, 3);
+	spread_read(&hosts[0], 0, CONFIG_SYNC_CONFIG, 3, "bad", 3);
+	spread_judge(&hosts[0], 0, CONFIG_SYNC_CONFIG, true);
+	spread_heard(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 3);
 	deliver(0, NULL);
-	ck_assert_ptr_nonnull(
-		spread_pending(&hosts[1], SPREAD_CONFIG, &revision, &length));
-	spread_judge(&hosts[1], 0, SPREAD_CONFIG, false);
-	ck_assert_uint_eq(spread_revision(&hosts[1], SPREAD_CONFIG), 0);
-	spread_heard(&hosts[1], 0, 1, SPREAD_CONFIG, 3);
+	ck_assert_ptr_nonnull(spread_pending(&hosts[1], CONFIG_SYNC_CONFIG,
+					     &revision, &length));
+	spread_judge(&hosts[1], 0, CONFIG_SYNC_CONFIG, false);
+	ck_assert_uint_eq(spread_revision(&hosts[1], CONFIG_SYNC_CONFIG), 0);
+	spread_heard(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 3);
 	ck_assert_uint_eq(deliver(0, NULL), 0);
-	ck_assert_int_eq(spread_read(&hosts[1], 0, SPREAD_CONFIG, 3, "bad", 3),
-			 PIMENTO_ESTALE);
-	ck_assert_int_eq(spread_read(&hosts[1], 0, SPREAD_CONFIG, 2, "good", 4),
-			 0);
+	ck_assert_int_eq(
+		spread_read(&hosts[1], 0, CONFIG_SYNC_CONFIG, 3, "bad", 3),
+		PIMENTO_ESTALE);
+	ck_assert_int_eq(
+		spread_read(&hosts[1], 0, CONFIG_SYNC_CONFIG, 2, "good", 4), 0);
 }
 END_TEST
 
@@ -215,9 +217,9 @@
 	char *text = lines(2000, 9999, &length);
 
 	for (uint32_t i = 0; i < 2; i++) {
-		spread_read(&hosts[i], 0, SPREAD_CONFIG, 4, text, length);
-		spread_judge(&hosts[i], 0, SPREAD_CONFIG, true);
-		spread_heard(&hosts[2], 0, i + 1, SPREAD_CONFIG, 4);
+		spread_read(&hosts[i], 0, CONFIG_SYNC_CONFIG, 4, text, length);
+		spread_judge(&hosts[i], 0, CONFIG_SYNC_CONFIG, true);
+		spread_heard(&hosts[2], 0, i + 1, CONFIG_SYNC_CONFIG, 4);
 	}
 	ck_assert(outbox_take(&outs[2], &to, &m));
 	ck_assert_uint_eq(to, 1);
@@ -227,9 +229,9 @@
 	outbox_take(&outs[2], &to, &m); /* lost: host 1 is dead */
 	spread_tick(&hosts[2], spread_deadline(&hosts[2]));
 	deliver(0, NULL);
-	ck_assert_str_eq(
-		spread_pending(&hosts[2], SPREAD_CONFIG, &revision, &length),
-		text);
+	ck_assert_str_eq(spread_pending(&hosts[2], CONFIG_SYNC_CONFIG,
+					&revision, &length),
+			 text);
 	free(text);
 }
 END_TEST
@@ -238,7 +240,9 @@
 	message_part_t part;
 } bad_parts[] = {
 	{ { .subject = 9, .revision = 1 } },
-	{ { .subject = 1, .revision = 1, .length = MESSAGE_PART_MAX + 1 } },
+	{ { .subject = 1,
+	    .revision = 1,
+	    .length = MESSAGE_PART_BYTES_MAX + 1 } },
 	{ { .subject = 1, .revision = 1, .size = 10, .offset = 11 } },
 	{ { .subject = 1,
 	    .revision = 1,
--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -1,5 +1,5 @@
 /*
- * The codec: every kind of message survives the trip, and what a broken or
+ * The codec: every kind of message survives the round trip, and what a broken or
  * hostile peer may send is refused.
  */
 
@@ -11,7 +11,7 @@
 
 static message_t decoded;
 
-static int trip(const message_t *message)
+static int round_trip(const message_t *message)
 {
 	uint8_t frame[WIRE_FRAME_MAX];
 	pimento_id_t from;
@@ -19,13 +19,13 @@
 
 	if (length < 0)
 		return length;
-	ck_assert_int_eq(wire_length(frame), length - WIRE_HEAD);
+	ck_assert_int_eq(wire_payload_length(frame), length - WIRE_HEADER_SIZE);
 	memset(&decoded, 0, sizeof(decoded));
-	return wire_decode(frame + WIRE_HEAD, (size_t)length - WIRE_HEAD, &from,
-			   &decoded);
+	return wire_decode(frame + WIRE_HEADER_SIZE,
+			   (size_t)length - WIRE_HEADER_SIZE, &from, &decoded);
 }
 
-START_TEST(every_kind_survives)
+START_TEST(every_kind_round_trips)
 {
 	message_t m;
 
@@ -34,14 +34,15 @@
 	switch (m.kind) {
 	case MESSAGE_CLAIM:
 		m.u.claim.op = CLAIM_TAKE;
-		m.u.claim.age = -1;
-		m.u.claim.place.answer_size = MESSAGE_ANSWER_MAX;
-		memset(m.u.claim.place.answer, 'x', MESSAGE_ANSWER_MAX);
+		m.u.claim.key_age = -1;
+		m.u.claim.dispatch.answer_size = MESSAGE_ANSWER_BYTES_MAX;
+		memset(m.u.claim.dispatch.answer, 'x',
+		       MESSAGE_ANSWER_BYTES_MAX);
 		break;
 	case MESSAGE_WITNESS:
-		m.u.witness.answer = PIMENTO_ECLAIMED;
+		m.u.witness.result = PIMENTO_ECLAIMED;
 		m.u.witness.attempt = 3;
-		m.u.witness.place.done = 1;
+		m.u.witness.dispatch.done = 1;
 		break;
 	case MESSAGE_PROBE:
 	case MESSAGE_ACK:
@@ -49,16 +50,16 @@
 		m.u.probe.facts[15].state = HOST_LEAVING;
 		break;
 	case MESSAGE_OFFER:
-		m.u.offer.subject = SPREAD_HOSTS;
+		m.u.offer.subject = CONFIG_SYNC_HOSTS;
 		break;
 	case MESSAGE_PULL:
-		m.u.pull.subject = SPREAD_CONFIG;
+		m.u.pull.subject = CONFIG_SYNC_CONFIG;
 		m.u.pull.base = 9;
 		break;
 	case MESSAGE_PART:
-		m.u.part.subject = SPREAD_CONFIG;
-		m.u.part.length = MESSAGE_PART_MAX;
-		memset(m.u.part.bytes, 'y', MESSAGE_PART_MAX);
+		m.u.part.subject = CONFIG_SYNC_CONFIG;
+		m.u.part.length = MESSAGE_PART_BYTES_MAX;
+		memset(m.u.part.bytes, 'y', MESSAGE_PART_BYTES_MAX);
 		break;
 	case MESSAGE_DIGEST:
 		m.u.digest.count = MESSAGE_SUMMARIES_MAX;
@@ -68,7 +69,7 @@
 		m.u.reserve.request.hi = 0x1234;
 		break;
 	}
-	ck_assert_int_eq(trip(&m), 0);
+	ck_assert_int_eq(round_trip(&m), 0);
 	ck_assert_mem_eq(&decoded, &m, message_size(m.kind));
 }
 END_TEST
@@ -77,7 +78,7 @@
 	const char *name;
 	message_t message;
 	int expected;
-} refused[] = {
+} out_of_range_cases[] = {
 	{ "no kind", { .kind = MESSAGE_NONE }, PIMENTO_EINVAL },
 	{ "beyond the kinds", { .kind = MESSAGE_KINDS }, PIMENTO_EINVAL },
 	{ "too many facts",
@@ -103,15 +104,16 @@
 
 START_TEST(out_of_range_is_refused)
 {
-	ck_assert_msg(trip(&refused[_i].message) == refused[_i].expected, "%s",
-		      refused[_i].name);
+	ck_assert_msg(round_trip(&out_of_range_cases[_i].message) ==
+			      out_of_range_cases[_i].expected,
+		      "%s", out_of_range_cases[_i].name);
 }
 END_TEST
 
 static const struct {
-	uint8_t head[WIRE_HEAD];
+	uint8_t header[WIRE_HEADER_SIZE];
 	int expected;
-} heads[] = {
+} header_cases[] = {
 	{ { 0, 0, 0, 0 }, PIMENTO_EPARSE },
 	{ { 0, 0, 0, 1 }, 1 },
 	{ { 0, 0, 0x80, 0 }, WIRE_PAYLOAD_MAX },
@@ -119,9 +121,10 @@
 	{ { 0xff, 0xff, 0xff, 0xff }, PIMENTO_EPARSE },
 };
 
-START_TEST(lengths_are_bounded)
+START_TEST(out_of_range_length_is_refused)
 {
-	ck_assert_int_eq(wire_length(heads[_i].head), heads[_i].expected);
+	ck_assert_int_eq(wire_payload_length(header_cases[_i].header),
+			 header_cases[_i].expected);
 }
 END_TEST
 
@@ -129,7 +132,7 @@
  * A peer of another version, or a stray client, sends bytes that are no
  * message. The link must see an error for each and never a crash.
  */
-START_TEST(rubbish_is_refused)
+START_TEST(random_bytes_do_not_crash_decoder)
 {
 	uint8_t bytes[256];
 	pimento_random_t random;
@@ -154,13 +157,14 @@
 	SRunner *runner;
 	int failed;
 
-	tcase_add_loop_test(tc, every_kind_survives, MESSAGE_RESERVE,
+	tcase_add_loop_test(tc, every_kind_round_trips, MESSAGE_RESERVE,
 			    MESSAGE_KINDS);
 	tcase_add_loop_test(tc, out_of_range_is_refused, 0,
-			    sizeof(refused) / sizeof(refused[0]));
-	tcase_add_loop_test(tc, lengths_are_bounded, 0,
-			    sizeof(heads) / sizeof(heads[0]));
-	tcase_add_test(tc, rubbish_is_refused);
+			    sizeof(out_of_range_cases) /
+				    sizeof(out_of_range_cases[0]));
+	tcase_add_loop_test(tc, out_of_range_length_is_refused, 0,
+			    sizeof(header_cases) / sizeof(header_cases[0]));
+	tcase_add_test(tc, random_bytes_do_not_crash_decoder);
 	suite_add_tcase(suite, tc);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
