--- a/io/admission.c
+++ b/io/admission.c
@@ -16,7 +16,7 @@
 }
 
 static void on_decided(void *context, uint64_t ticket,
-		       const quota_verdict_t *verdict)
+		       const quota_decision_t *verdict)
 {
 	exchange_t *x = find(context, ticket);
 
@@ -28,7 +28,7 @@
 		return;
 	}
 	x->counted = true;
-	x->quota_judge = verdict->judge;
+	x->quota_judge = verdict->deciding_host;
 	arrival_admitted(x);
 }
 
@@ -46,7 +46,7 @@
 	quota_fleet_setup_t fleet = {
 		.ops = &gateway->quota_ops,
 		.context = gateway,
-		.roster = setup->roster,
+		.peers = setup->roster,
 		.window = setup->bounds.quota_window,
 		.first_start = setup->first_start,
 	};
@@ -83,7 +83,7 @@
 		.tier = x->route->tier,
 		.tokens = x->tokens,
 	};
-	if (quota_fleet_ask(&x->gateway->quota, &request, sys_now())) {
+	if (quota_fleet_request(&x->gateway->quota, &request, sys_now())) {
 		x->quota_ticket = 0;
 		exchange_refuse(x, HTTP_STATUS_SERVICE_UNAVAILABLE, "memory");
 	}
--- a/io/arrival.c
+++ b/io/arrival.c
@@ -122,7 +122,9 @@
 {
 	gateway_route_t *learnt = learnt_of(gateway, x->route->key);
 
-	return learnt ? patience_spent(&learnt->patience, x->call.patience) : 0;
+	return learnt ? client_timeout_elapsed(&learnt->patience,
+					       x->call.patience)
+		      : 0;
 }
 
 static void set_ends(exchange_t *x)
@@ -146,33 +148,35 @@
 }
 
 /* From a free place to the answer, and to its end, at an average endpoint. */
-static void set_expected(const exchange_t *x, wait_queue_terms_t *terms)
+static void set_expected(const exchange_t *x, wait_queue_timing_t *terms)
 {
 	const directory_service_t *service =
 		directory_service(x->gateway->directory, x->service->key);
-	const pace_t average = { 0 };
+	const latency_model_t average = { 0 };
 
 	if (!service)
 		return;
-	terms->expect = (pimento_usec_t)pace_expect(&average, &service->pace,
-						    x->call.prompt);
-	terms->hold = terms->expect;
+	terms->expected_latency = (pimento_usec_t)latency_expected_first_event(
+		&average, &service->pace, x->call.prompt);
+	terms->expected_slot_time = terms->expected_latency;
 	if (x->engine)
-		terms->hold += (pimento_usec_t)pace_rest_expect(
-			&average, &service->pace, x->call.expected);
+		terms->expected_slot_time +=
+			(pimento_usec_t)latency_expected_stream_time(
+				&average, &service->pace, x->call.expected);
 	else
-		terms->expect = (pimento_usec_t)pace_expect_most(
-			&average, &service->pace, x->call.prompt);
+		terms->expected_latency =
+			(pimento_usec_t)latency_p90_first_event(
+				&average, &service->pace, x->call.prompt);
 }
 
 static void set_wait(exchange_t *x)
 {
-	wait_queue_terms_t terms = {
+	wait_queue_timing_t terms = {
 		.arrived = x->arrived,
-		.spent = x->spent,
-		.goal = x->route->goal,
-		.gap_goal = x->route->gap_goal,
-		.end = x->end,
+		.spent_before = x->spent,
+		.objective = x->route->goal,
+		.gap_objective = x->route->gap_goal,
+		.deadline = x->end,
 	};
 
 	set_expected(x, &terms);
@@ -246,8 +250,8 @@
 	gateway_t *gateway = x->gateway;
 
 	x->state = EXCHANGE_WAITING;
-	retry_budget_request(&x->service->budget, &gateway->bounds.retry,
-			     sys_now());
+	retry_budget_add_request(&x->service->budget, &gateway->bounds.retry,
+				 sys_now());
 	set_wait(x);
 	wait_queue_push(&x->service->line, &x->wait);
 	placing_pump(gateway, x->service);
--- a/io/dispatch.c
+++ b/io/dispatch.c
@@ -173,7 +173,7 @@
 	wait_queue_remove(&x->service->line, &x->wait);
 	placing_leave_lines(x);
 	x->state = EXCHANGE_CONNECTING;
-	x->finding = PACE_NOTHING;
+	x->finding = LATENCY_OUTCOME_NONE;
 	x->endpoint = endpoint;
 	x->life = endpoint->life;
 	x->ahead = endpoint->reading + endpoint->reading_elsewhere;
@@ -196,15 +196,15 @@
 /* Its caller waits for the rest of a stream, or for one that ran in vain. */
 static void wait_again(exchange_t *x)
 {
-	const wait_queue_terms_t terms = {
-		.goal = x->route->goal,
-		.gap_goal = x->route->gap_goal,
-		.end = x->end,
+	const wait_queue_timing_t terms = {
+		.objective = x->route->goal,
+		.gap_objective = x->route->gap_goal,
+		.deadline = x->end,
 	};
 
 	if (x->runs && x->engine)
-		wait_queue_set_begun(&x->wait, &terms,
-				     x->first_at ? x->event_at : x->arrived);
+		wait_queue_set_resumed(&x->wait, &terms,
+				       x->first_at ? x->event_at : x->arrived);
 }
 
 static void try_again(exchange_t *x)
@@ -288,16 +288,17 @@
 	service = directory_service(x->gateway->directory, x->service->key);
 	if (why == HTTPC_UNREACHED || x->state == EXCHANGE_CONNECTING) {
 		verdict = PIMENTO_NOT_RUN;
-		x->finding = PACE_UNREACHED;
+		x->finding = LATENCY_OUTCOME_UNREACHABLE;
 		slots_learn(x->gateway->slots, x->endpoint, x->finding,
 			    sys_now());
 	} else if (x->reused && why == HTTPC_BROKEN && !conn->status &&
 		   x->rested > STALE_LEAST) {
 		pool_stale(conn, x->rested);
 	} else if (service) {
-		pace_failed(&x->endpoint->pace, &service->pace, sys_now());
+		latency_add_failure(&x->endpoint->pace, &service->pace,
+				    sys_now());
 		if (why == HTTPC_BROKEN && !conn->status) {
-			x->finding = PACE_BREAKS;
+			x->finding = LATENCY_OUTCOME_RESET;
 			slots_learn(x->gateway->slots, x->endpoint, x->finding,
 				    sys_now());
 		}
@@ -332,7 +333,7 @@
 
 	if (x->engine || x->state != EXCHANGE_SENT || !service)
 		return false;
-	most = pace_expect_most(&x->endpoint->pace, &service->pace, 0);
+	most = latency_p90_first_event(&x->endpoint->pace, &service->pace, 0);
 	return most > 0 && (double)(now - x->sent_at) > OVERDUE_TIMES * most;
 }
 
@@ -355,7 +356,7 @@
 		return placing_sweep(x, now);
 	if (x->state == EXCHANGE_CONNECTING &&
 	    now - x->conn->since > CONNECT_MOST) {
-		x->finding = PACE_UNREACHED;
+		x->finding = LATENCY_OUTCOME_UNREACHABLE;
 		slots_learn(x->gateway->slots, x->endpoint, x->finding, now);
 		dispatch_over(x, PIMENTO_NOT_RUN, 0, "connect_timeout");
 		return true;
--- a/io/exchange.c
+++ b/io/exchange.c
@@ -59,7 +59,7 @@
 	      x->status, why, (long long)msec(now - x->arrived),
 	      x->first_at ? (long long)msec(x->first_at - x->arrived) : -1,
 	      x->sent_at ? (long long)msec(x->sent_at - x->arrived) : -1,
-	      (long long)msec(x->end - now), x->wait.late, x->arrivals,
+	      (long long)msec(x->end - now), x->wait.overdue, x->arrivals,
 	      x->sent_to[0] ? x->sent_to : "-", x->granted, x->load,
 	      x->service ? x->service->line.count : 0, x->tokens,
 	      x->call.prompt, x->call.expected, x->events.count,
@@ -172,10 +172,10 @@
 	httpd_abort(part(x, x->status, GATEWAY_CUT, why));
 }
 
-void exchange_over_quota(exchange_t *x, const quota_verdict_t *verdict)
+void exchange_over_quota(exchange_t *x, const quota_decision_t *verdict)
 {
 	const int status = HTTP_STATUS_TOO_MANY_REQUESTS;
-	const struct in_addr judge = { htonl(verdict->judge) };
+	const struct in_addr judge = { htonl(verdict->deciding_host) };
 	pimento_usec_t wait = verdict->retry_after;
 	gateway_t *gateway = x->gateway;
 	char text[INET_ADDRSTRLEN] = "";
@@ -187,7 +187,8 @@
 	      "judge=%s retry_after_ms=%lld",
 	      x->call.id, x->account->name, x->tokens,
 	      x->account->tokens_per_second, x->account->burst, verdict->level,
-	      verdict->judge ? text : "self_alone", (long long)msec(wait));
+	      verdict->deciding_host ? text : "self_alone",
+	      (long long)msec(wait));
 	x->service = NULL; /* it never waited */
 	caller = part(x, status, GATEWAY_OVER_QUOTA, "quota");
 	exchange_retry_after(gateway, caller, status, wait);
--- a/io/exchange.h
+++ b/io/exchange.h
@@ -48,7 +48,7 @@
 	uint32_t line_count;
 	uint64_t given; /* ticket of a place that was granted while asking */
 	exchange_place_t place; /* that it was given, for this attempt */
-	pace_finding_t finding; /* of this attempt */
+	latency_outcome_t finding; /* of this attempt */
 
 	/* The attempt under way. */
 	httpc_t *conn;
@@ -122,7 +122,7 @@
  */
 void exchange_refuse(exchange_t *exchange, int status, const char *why);
 void exchange_fail(exchange_t *exchange, int status, const char *why);
-void exchange_over_quota(exchange_t *exchange, const quota_verdict_t *verdict);
+void exchange_over_quota(exchange_t *exchange, const quota_decision_t *verdict);
 /* Its answer is whole; returns the caller, to whom its end is still owed. */
 httpd_conn_t *exchange_served(exchange_t *exchange);
 /* Breaks an answer off that has begun. */
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -112,7 +112,7 @@
 {
 	wait_queue_item_t *item;
 
-	while ((item = wait_queue_expired(&service->line, now))) {
+	while ((item = wait_queue_next_expired(&service->line, now))) {
 		exchange_t *x = (exchange_t *)item;
 
 		if (x->runs)
--- a/io/gateway.h
+++ b/io/gateway.h
@@ -16,7 +16,7 @@
 #include "../src/catalog.h"
 #include "../src/events.h"
 #include "../src/mirror.h"
-#include "../src/patience.h"
+#include "../src/client_timeout.h"
 #include "../src/placement.h"
 #include "../src/retry_budget.h"
 #include "../src/roster.h"
@@ -25,7 +25,7 @@
 /* Operators' bounds that the data path keeps. */
 typedef struct gateway_bounds {
 	pimento_usec_t key_lease; /* a copy older than this honours no key */
-	retry_budget_terms_t retry;
+	retry_budget_limits_t retry;
 	pimento_usec_t quota_window;
 } gateway_bounds_t;
 
@@ -76,7 +76,7 @@
 /* What this host has learnt of each route, by its name. */
 typedef struct gateway_route {
 	pimento_id_t key;
-	patience_t patience;
+	client_timeout_t patience;
 } gateway_route_t;
 
 typedef struct gateway {
--- a/io/mesh.c
+++ b/io/mesh.c
@@ -75,8 +75,8 @@
 	if (note->membership.count > ROSTER_FACTS_CALM)
 		return; /* after many hosts started, they come first */
 	add_loads(mesh, note);
-	note->quota_count = quota_reports(&mesh->quota->owned, note->quotas,
-					  ROSTER_QUOTAS_MAX, now);
+	note->quota_count = quota_collect_reports(
+		&mesh->quota->owned, note->quotas, ROSTER_QUOTAS_MAX, now);
 	slots_say(mesh->slots, note, now);
 }
 
@@ -184,8 +184,9 @@
 	}
 	slots_hear(mesh->slots, note, now);
 	for (uint32_t i = 0; i < note->quota_count; i++)
-		quota_told(&mesh->quota->owned, note->quotas[i].account,
-			   note->quotas[i].level, now - note->quotas[i].age);
+		quota_apply_report(&mesh->quota->owned, note->quotas[i].account,
+				   note->quotas[i].level,
+				   now - note->quotas[i].age);
 	if (note->pull)
 		answer_pull(mesh, note->address, now);
 }
--- a/io/metrics.c
+++ b/io/metrics.c
@@ -79,9 +79,9 @@
 	counter(text, "slots_asked_total", gateway->slots->asked);
 	counter(text, "slots_granted_total", gateway->slots->granted);
 	counter(text, "owners_changed_total", gateway->slots->owners_changed);
-	counter(text, "quota_asked_total", gateway->quota.asked);
+	counter(text, "quota_asked_total", gateway->quota.requests);
 	counter(text, "quota_unanswered_total", gateway->quota.unanswered);
-	counter(text, "quota_alone_total", gateway->quota.alone);
+	counter(text, "quota_alone_total", gateway->quota.local_decisions);
 	counter(text, "snapshots_in_total", sources->mesh->snapshots_in);
 	counter(text, "snapshots_lost_total", sources->mesh->snapshots_lost);
 	counter(text, "snapshot_bytes_in_total",
--- a/io/placing.c
+++ b/io/placing.c
@@ -76,7 +76,7 @@
 {
 	pimento_usec_t gap = mean_gap(x);
 	packet_slot_release_t words = { .gap_us = (uint32_t)gap,
-					.outcome = PACE_ANSWERS };
+					.outcome = LATENCY_OUTCOME_ANSWERED };
 
 	if (!x->place.ticket || x->told_pace || !gap ||
 	    x->events.count - x->events_before < NEWS_EVENTS)
@@ -140,11 +140,11 @@
 /* Until a request that can be on time is late; 0: it is, or has no goal. */
 static pimento_usec_t late_in(const exchange_t *x, pimento_usec_t now)
 {
-	if (x->wait.late)
+	if (x->wait.overdue)
 		return 0;
-	if (x->wait.late_at < now + PIMENTO_MSEC)
+	if (x->wait.overdue_at < now + PIMENTO_MSEC)
 		return PIMENTO_MSEC; /* the least that a packet tells */
-	return x->wait.late_at - now;
+	return x->wait.overdue_at - now;
 }
 
 /*
@@ -158,10 +158,10 @@
 	bool pumping = gateway->pumping;
 	grants_ask_t question = { .ticket = gateway_draw(gateway) | 1,
 				  .rank = x->wait.rank,
-				  .late = x->wait.late,
+				  .late = x->wait.overdue,
 				  .late_in = late_in(x, now),
 				  .wait = ASK_MOST + ASK_MARGIN,
-				  .ahead = now - x->wait.order_at };
+				  .ahead = now - x->wait.order_key };
 
 	if (!x->line_count)
 		x->service->asks++;
@@ -192,31 +192,31 @@
 {
 	return (placement_request_t){
 		.service = x->service->key,
-		.prompt = x->call.prompt,
-		.answer = x->call.expected,
-		.left = x->end - now,
-		.goal = x->route->goal,
-		.begin_within = x->wait.since + x->route->goal - now,
-		.gap_goal = x->route->gap_goal,
-		.engine = x->engine,
-		.late = x->wait.late,
+		.prompt_tokens = x->call.prompt,
+		.answer_tokens = x->call.expected,
+		.time_left = x->end - now,
+		.objective = x->route->goal,
+		.first_event_within =
+			x->wait.first_attempt_at + x->route->goal - now,
+		.gap_objective = x->route->gap_goal,
+		.engine_stream = x->engine,
+		.overdue = x->wait.overdue,
 		.datacentre = x->gateway->datacentre,
 		.tried = x->tried,
 		.tried_count = x->tried_count,
-		.draw = x->draw,
+		.random_bits = x->draw,
 	};
 }
 
-static placement_verdict_t place(exchange_t *x, bool in_line,
-				 pimento_usec_t now,
-				 directory_endpoint_t **endpoint)
+static placement_result_t place(exchange_t *x, bool in_line, pimento_usec_t now,
+				directory_endpoint_t **endpoint)
 {
 	pimento_id_t asked[GRANTS_LINES];
 	placement_request_t request = request_of(x, now);
 
-	request.in_line = in_line;
-	request.asked = asked;
-	request.asked_count = x->line_count;
+	request.may_queue = in_line;
+	request.queued_at = asked;
+	request.queued_at_count = x->line_count;
 	for (uint32_t i = 0; i < x->line_count; i++)
 		asked[i] = x->lines[i].endpoint->key;
 
@@ -398,7 +398,8 @@
 	const placement_request_t request = request_of(x, now);
 
 	return directory_takes(endpoint, now) &&
-	       placement_suits(x->gateway->directory, &request, endpoint, now);
+	       placement_accepts_grant(x->gateway->directory, &request,
+				       endpoint, now);
 }
 
 void gateway_replied(gateway_t *gateway, const packet_slot_reply_t *reply)
--- a/io/relay.c
+++ b/io/relay.c
@@ -18,7 +18,7 @@
 /* A caller that does not read stops its endpoint's stream, and nobody else. */
 #define UNREAD_MOST ((size_t)256 * 1024)
 
-static pace_service_t *pace_of(exchange_t *x)
+static latency_service_t *pace_of(exchange_t *x)
 {
 	directory_service_t *service =
 		directory_service(x->gateway->directory, x->service->key);
@@ -119,7 +119,7 @@
 
 static void not_run(exchange_t *x, bool full, int status)
 {
-	x->finding = full ? PACE_FULL : PACE_UNREACHED;
+	x->finding = full ? LATENCY_OUTCOME_FULL : LATENCY_OUTCOME_UNREACHABLE;
 	slots_learn(x->gateway->slots, x->endpoint, x->finding, sys_now());
 	dispatch_over(x, PIMENTO_NOT_RUN, status,
 		      full ? "endpoint_full" : "other_endpoint");
@@ -128,13 +128,13 @@
 /* The endpoint answered, with a failure or with what is no answer. */
 static void failed(exchange_t *x)
 {
-	pace_service_t *service = pace_of(x);
+	latency_service_t *service = pace_of(x);
 	pimento_usec_t now = sys_now();
 
-	x->finding = PACE_FAILS;
+	x->finding = LATENCY_OUTCOME_FAILED;
 	slots_learn(x->gateway->slots, x->endpoint, x->finding, now);
 	if (service)
-		pace_failed(&x->endpoint->pace, service, now);
+		latency_add_failure(&x->endpoint->pace, service, now);
 }
 
 bool relay_head(httpc_t *conn)
@@ -179,33 +179,34 @@
 /* The first bytes of an answer that counts. */
 static void learn_first(exchange_t *x, pimento_usec_t now)
 {
-	pace_service_t *service = pace_of(x);
+	latency_service_t *service = pace_of(x);
 
 	if (!x->first_at)
 		x->first_at = now;
 	dispatch_read(x);
 	if (x->status / 100 != 5) {
-		x->finding = PACE_ANSWERS;
+		x->finding = LATENCY_OUTCOME_ANSWERED;
 		slots_learn(x->gateway->slots, x->endpoint, x->finding, now);
 	}
 	if (!service || x->status / 100 != 2)
 		return;
-	pace_answered(&x->endpoint->pace, service);
+	latency_add_success(&x->endpoint->pace, service);
 	/* Behind a full batch the span would tell of the queue instead. */
 	if (x->load <= x->endpoint->slots)
-		pace_first(&x->endpoint->pace, service, now - x->sent_at,
-			   x->call.prompt + x->ahead);
+		latency_add_first_event(&x->endpoint->pace, service,
+					now - x->sent_at,
+					x->call.prompt + x->ahead);
 }
 
 static void learn_gap(exchange_t *x, uint32_t events, pimento_usec_t now)
 {
-	pace_service_t *service = pace_of(x);
+	latency_service_t *service = pace_of(x);
 
 	if (x->pause_most < now - x->event_at)
 		x->pause_most = now - x->event_at;
 	if (service && events)
-		pace_gap(&x->endpoint->pace, service,
-			 (now - x->event_at) / events);
+		latency_add_gap(&x->endpoint->pace, service,
+				(now - x->event_at) / events);
 }
 
 static void pass_events(exchange_t *x, const char *bytes, size_t length)
@@ -263,10 +264,10 @@
 
 static void learn_length(exchange_t *x)
 {
-	pace_service_t *service = pace_of(x);
+	latency_service_t *service = pace_of(x);
 
 	if (service && x->is_events && x->call.expected)
-		pace_length(service, x->call.expected, x->events.count);
+		latency_add_length(service, x->call.expected, x->events.count);
 }
 
 static void end_stream(exchange_t *x)
--- a/io/slots.c
+++ b/io/slots.c
@@ -67,10 +67,10 @@
 	directory_word_t word = {
 		.running = grants_running(&slots->grants, key),
 		.waiting = grants_waiting(&slots->grants, key),
-		.gap_us = (uint32_t)endpoint->pace.gap,
-		.doubtful = endpoint->pace.failures > 0 ||
-			    (service &&
-			     pace_is_failing(&endpoint->pace, &service->pace)),
+		.gap_us = (uint32_t)endpoint->pace.event_gap_us,
+		.doubtful = endpoint->pace.consecutive_unreachable > 0 ||
+			    (service && latency_is_failing(&endpoint->pace,
+							   &service->pace)),
 	};
 
 	if (endpoint->pace.ejected_until > now)
@@ -123,12 +123,12 @@
 	const directory_service_t *service =
 		directory_service(slots->directory, endpoint->service);
 
-	if (!service || endpoint->pace.failures)
+	if (!service || endpoint->pace.consecutive_unreachable)
 		return 1;
-	if (pace_is_failing(&endpoint->pace, &service->pace) &&
+	if (latency_is_failing(&endpoint->pace, &service->pace) &&
 	    has_alternative(slots, endpoint, now))
 		return 1;
-	return placement_places(service, endpoint);
+	return placement_in_flight_limit(service, endpoint);
 }
 
 /* Gives free places to those in line. */
@@ -167,22 +167,22 @@
 }
 
 void slots_learn(slots_t *slots, directory_endpoint_t *endpoint,
-		 pace_finding_t finding, pimento_usec_t now)
+		 latency_outcome_t finding, pimento_usec_t now)
 {
 	const directory_service_t *service =
 		directory_service(slots->directory, endpoint->service);
-	pace_t *pace = &endpoint->pace;
-	uint32_t before = pace->failures;
+	latency_model_t *pace = &endpoint->pace;
+	uint32_t before = pace->consecutive_unreachable;
 
 	if (!service)
 		return;
-	pace_found(pace, &service->pace, finding, now);
-	if (!before && pace->failures)
+	latency_update_ejection(pace, &service->pace, finding, now);
+	if (!before && pace->consecutive_unreachable)
 		trail(TRAIL_STATE, "endpoint", "left_alone",
 		      "endpoint=%s why=%s in_a_row=%u ms=%lld", endpoint->id,
-		      pace_finding_name(finding), pace->bad,
+		      latency_outcome_name(finding), pace->consecutive_errors,
 		      (long long)((pace->ejected_until - now) / PIMENTO_MSEC));
-	else if (before && !pace->failures)
+	else if (before && !pace->consecutive_unreachable)
 		trail(TRAIL_STATE, "endpoint", "answers_again",
 		      "endpoint=%s failures=%u", endpoint->id, before);
 }
@@ -198,12 +198,12 @@
 
 	/* what this host found out itself was learnt on the way */
 	if (service && release->address != slots->self) {
-		pace_heard(&endpoint->pace, &service->pace, release->outcome,
-			   now);
+		latency_update_failure_rate(&endpoint->pace, &service->pace,
+					    release->outcome, now);
 		slots_learn(slots, endpoint, release->outcome, now);
 		if (release->gap_us)
-			pace_gap_mean(&endpoint->pace, &service->pace,
-				      release->gap_us);
+			latency_add_mean_gap(&endpoint->pace, &service->pace,
+					     release->gap_us);
 	}
 	grants_release(&slots->grants, release->endpoint, release->address,
 		       release->ticket);
--- a/io/slots.h
+++ b/io/slots.h
@@ -57,6 +57,6 @@
  * left alone or answers again.
  */
 void slots_learn(slots_t *slots, directory_endpoint_t *endpoint,
-		 pace_finding_t finding, pimento_usec_t now);
+		 latency_outcome_t finding, pimento_usec_t now);
 
 #endif
--- a/src/patience.c
+++ b/src/client_timeout.c
@@ -5,22 +5,24 @@
  * So only a clear lack counts.
  */
 
-#include "patience.h"
+#include "client_timeout.h"
 
 /*
  * Callers of one route differ in their patience by about a sixth. Less than
  * this part of the most that was seen shows that some was spent before.
  */
-#define USUAL_PART 0.8
+#define UNSPENT_RATIO_MIN 0.8
 
-pimento_usec_t patience_spent(patience_t *patience, pimento_usec_t shown)
+pimento_usec_t client_timeout_elapsed(client_timeout_t *patience,
+				      pimento_usec_t time_left)
 {
-	pimento_usec_t usual;
+	pimento_usec_t unspent_min;
 
-	if (!shown)
+	if (!time_left)
 		return 0;
-	if (patience->longest < shown)
-		patience->longest = shown;
-	usual = (pimento_usec_t)((double)patience->longest * USUAL_PART);
-	return usual > shown ? usual - shown : 0;
+	if (patience->longest_seen < time_left)
+		patience->longest_seen = time_left;
+	unspent_min = (pimento_usec_t)((double)patience->longest_seen *
+				       UNSPENT_RATIO_MIN);
+	return unspent_min > time_left ? unspent_min - time_left : 0;
 }
--- a/src/patience.h
+++ b/src/client_timeout.h
@@ -1,5 +1,5 @@
-#ifndef PATIENCE_H
-#define PATIENCE_H
+#ifndef CLIENT_TIMEOUT_H
+#define CLIENT_TIMEOUT_H
 
 /*
  * How long callers of one route are willing to wait, learnt from what they say.
@@ -10,13 +10,15 @@
 #include "../pimentoshelf.h"
 
 typedef struct patience {
-	pimento_usec_t longest; /* that a caller has shown; 0 none yet */
-} patience_t;
+	pimento_usec_t
+		longest_seen; /* that a caller has time_left; 0 none yet */
+} client_timeout_t;
 
 /*
  * Learns from the time that a request brings (microseconds; 0 if it states
  * none), and returns what its caller has surely spent before, 0 if nothing.
  */
-pimento_usec_t patience_spent(patience_t *patience, pimento_usec_t shown);
+pimento_usec_t client_timeout_elapsed(client_timeout_t *patience,
+				      pimento_usec_t time_left);
 
 #endif
--- a/src/directory.c
+++ b/src/directory.c
@@ -116,7 +116,7 @@
 	if (known &&
 	    (endpoint->born != record->born || endpoint->port != record->port ||
 	     strcmp(endpoint->address, record->address) != 0)) {
-		pace_init(&endpoint->pace);
+		latency_init(&endpoint->pace);
 		endpoint->life++;
 	}
 	endpoint->born = record->born;
@@ -146,7 +146,7 @@
 	endpoint->told_at = at;
 	/* The owner hears from all hosts; this one has seen a few streams. */
 	if (word->gap_us)
-		endpoint->pace.gap = word->gap_us;
+		endpoint->pace.event_gap_us = word->gap_us;
 	if (word->ejected_ms && endpoint->pace.ejected_until < ejected)
 		endpoint->pace.ejected_until = ejected;
 }
--- a/src/directory.h
+++ b/src/directory.h
@@ -7,7 +7,7 @@
  * table until the last request and connection that points at it is gone.
  */
 
-#include "pace.h"
+#include "latency.h"
 
 /* What the owner of an endpoint says of it. */
 typedef struct directory_word {
@@ -45,7 +45,7 @@
 	uint64_t owner_epoch;
 	uint32_t reported; /* running, as last reported to the owner */
 	pimento_usec_t reported_at;
-	pace_t pace;
+	latency_model_t pace;
 	uint32_t idle_connections; /* open, with no request */
 	void *connections; /* of the I/O layer, which alone looks at it */
 } directory_endpoint_t;
@@ -53,7 +53,7 @@
 typedef struct directory_service {
 	pimento_id_t key;
 	bool plain; /* its endpoints queue requests, and are no engines */
-	pace_service_t pace;
+	latency_service_t pace;
 } directory_service_t;
 
 typedef struct directory {
--- a/src/packet.c
+++ b/src/packet.c
@@ -243,7 +243,7 @@
 	out.ticket = quota->ticket;
 	out.tokens = whole_tokens(quota->tokens);
 	out.tier = quota->tier;
-	out.per_second = whole_tokens(quota->limit.per_second);
+	out.per_second = whole_tokens(quota->limit.tokens_per_second);
 	out.burst = whole_tokens(quota->limit.burst);
 	out.version = quota->version;
 	out.admitted = quota->admitted;
@@ -396,9 +396,10 @@
 }
 
 /* A newer host may tell of findings that this one does not know. */
-static pace_finding_t outcome_from_wire(uint32_t number)
+static latency_outcome_t outcome_from_wire(uint32_t number)
 {
-	return number < PACE_FINDINGS ? (pace_finding_t)number : PACE_NOTHING;
+	return number < LATENCY_OUTCOMES ? (latency_outcome_t)number
+					 : LATENCY_OUTCOME_NONE;
 }
 
 static void copy_slot_release(packet_slot_release_t *release,
@@ -425,7 +426,7 @@
 
 static int copy_quota(quota_message_t *quota, const Peer__QuotaMessage *message)
 {
-	if (message->kind >= QUOTA_MESSAGES)
+	if (message->kind >= QUOTA_MESSAGE_KINDS)
 		return PIMENTO_EPARSE;
 	*quota = (quota_message_t){
 		.kind = (quota_message_kind_t)message->kind,
--- a/src/packet.h
+++ b/src/packet.h
@@ -34,7 +34,7 @@
 	uint32_t address;
 	uint64_t ticket;
 	uint32_t gap_us; /* mean that the request has seen; 0 none */
-	pace_finding_t outcome;
+	latency_outcome_t outcome;
 } packet_slot_release_t;
 
 /* What a host has in flight at an endpoint, for the endpoint's owner. */
--- a/src/quota.c
+++ b/src/quota.c
@@ -17,77 +17,77 @@
 #include <stdlib.h>
 
 /* Room beside the burst, in seconds of the rate. */
-#define ROOM_SECONDS 0.5
+#define BUCKET_EXTRA_SECONDS 0.5
 /*
  * Part of the burst that drains with the rate, and part that may come at
  * once. Their sum above 1 uses some of the operators' tolerance for an
  * account that is over its quota all the time.
  */
-#define DRAIN_PART 0.75
-#define BURST_PART 0.75
-/* Part of the room that counts as used when nothing is known. */
-#define UNKNOWN_PART 0.25
+#define BURST_DRAIN_RATIO 0.75
+#define BURST_BUCKET_RATIO 0.75
+/* Part of the bucket_size that counts as used when nothing is known. */
+#define UNKNOWN_LEVEL_RATIO 0.25
 /*
  * Beyond this part of the bucket the account is scarce: what drains is given
  * out by tier, and the bucket is held at the part aimed at. Up to so much more
  * or less than drains is admitted that the aim is reached in this time.
  */
-#define SCARCE_PART 0.65
-#define AIM_PART 0.8
-#define SETTLE_SECONDS 2.0
-#define CORRECT_MOST 0.5
-/* Part of the bucket that is kept for more urgent requests. */
-#define KEPT_PART 0.2
+#define SCARCE_LEVEL_RATIO 0.65
+#define TARGET_LEVEL_RATIO 0.8
+#define TARGET_REACH_SECONDS 2.0
+#define RATE_CORRECTION_MAX 0.5
+/* Part of the bucket that is reserved for more urgent requests. */
+#define URGENT_RESERVE_RATIO 0.2
 /* Reports that are older are not passed on. */
-#define REPORT_AGE (2 * PIMENTO_SEC)
+#define REPORT_AGE_MAX (2 * PIMENTO_SEC)
 
 void quota_init(quota_t *quota, pimento_usec_t window, bool first_start)
 {
 	*quota = (quota_t){ .first_start = first_start,
 			    .window = window,
-			    .part = 1 };
+			    .limit_ratio = 1 };
 }
 
 void quota_finish(quota_t *quota)
 {
-	free(quota->uses);
+	free(quota->usages);
 }
 
 static quota_usage_t *find(const quota_t *quota, uint32_t account)
 {
 	for (uint32_t i = 0; i < quota->count; i++)
-		if (quota->uses[i].account == account)
-			return &quota->uses[i];
+		if (quota->usages[i].account == account)
+			return &quota->usages[i];
 	return NULL;
 }
 
 static quota_usage_t *find_or_add(quota_t *quota, uint32_t account)
 {
-	quota_usage_t *use = find(quota, account);
+	quota_usage_t *usage = find(quota, account);
 
-	if (use)
-		return use;
-	use = realloc(quota->uses, (quota->count + 1) * sizeof(*use));
-	if (!use)
+	if (usage)
+		return usage;
+	usage = realloc(quota->usages, (quota->count + 1) * sizeof(*usage));
+	if (!usage)
 		return NULL;
-	quota->uses = use;
-	use += quota->count++;
-	*use = (quota_usage_t){ .account = account };
-	return use;
+	quota->usages = usage;
+	usage += quota->count++;
+	*usage = (quota_usage_t){ .account = account };
+	return usage;
 }
 
-quota_limit_t quota_state(quota_t *quota, uint32_t account, uint64_t version,
-			  quota_limit_t limit)
+quota_limit_t quota_update_limit(quota_t *quota, uint32_t account,
+				 uint64_t version, quota_limit_t limit)
 {
-	quota_usage_t *use = find_or_add(quota, account);
+	quota_usage_t *usage = find_or_add(quota, account);
 
-	if (!use)
+	if (!usage)
 		return limit;
-	if (version >= use->version) {
-		use->version = version;
-		use->limit = limit;
+	if (version >= usage->version) {
+		usage->version = version;
+		usage->limit = limit;
 	}
-	return use->limit;
+	return usage->limit;
 }
 
 static double seconds(pimento_usec_t span)
@@ -95,166 +95,181 @@
 	return (double)span / (double)PIMENTO_SEC;
 }
 
-static double room(const quota_t *quota, quota_limit_t limit)
+static double bucket_size(const quota_t *quota, quota_limit_t limit)
 {
-	return quota->part *
-	       (limit.burst * BURST_PART + limit.per_second * ROOM_SECONDS);
+	return quota->limit_ratio *
+	       (limit.burst * BURST_BUCKET_RATIO +
+		limit.tokens_per_second * BUCKET_EXTRA_SECONDS);
 }
 
 /* Tokens a second that drain. */
-static double draining(const quota_t *quota, quota_limit_t limit)
+static double drain_rate(const quota_t *quota, quota_limit_t limit)
 {
-	return quota->part *
-	       (limit.per_second +
-		limit.burst * DRAIN_PART / seconds(quota->window));
+	return quota->limit_ratio *
+	       (limit.tokens_per_second +
+		limit.burst * BURST_DRAIN_RATIO / seconds(quota->window));
 }
 
 /* What another host reported, as it has drained since. */
-static double told_level(const quota_t *quota, const quota_usage_t *use,
-			 pimento_usec_t now)
+static double drained_report_level(const quota_t *quota,
+				   const quota_usage_t *usage,
+				   pimento_usec_t now)
 {
-	double drained =
-		seconds(now - use->told_at) * draining(quota, use->limit);
+	double drained = seconds(now - usage->reported_at) *
+			 drain_rate(quota, usage->limit);
 
-	if (!use->told_at || now - use->told_at > quota->window)
+	if (!usage->reported_at || now - usage->reported_at > quota->window)
 		return 0;
-	return fmax(use->told - drained, 0);
+	return fmax(usage->reported_level - drained, 0);
 }
 
-static void begin(const quota_t *quota, quota_usage_t *use, pimento_usec_t now)
+static void init_level(const quota_t *quota, quota_usage_t *usage,
+		       pimento_usec_t now)
 {
 	/* in that time any owner would have been heard of the account */
-	bool known = quota->first_start || use->told_at ||
+	bool known = quota->first_start || usage->reported_at ||
 		     now - quota->started_at > quota->window;
 
 	if (!known)
-		use->level = room(quota, use->limit) * UNKNOWN_PART;
-	use->begun = true;
-	use->settled = now;
+		usage->level =
+			bucket_size(quota, usage->limit) * UNKNOWN_LEVEL_RATIO;
+	usage->initialised = true;
+	usage->drained_at = now;
 }
 
-static void drain(const quota_t *quota, quota_usage_t *use, pimento_usec_t now)
+static void drain(const quota_t *quota, quota_usage_t *usage,
+		  pimento_usec_t now)
 {
-	use->level -= seconds(now - use->settled) * draining(quota, use->limit);
-	use->settled = now;
+	usage->level -= seconds(now - usage->drained_at) *
+			drain_rate(quota, usage->limit);
+	usage->drained_at = now;
 	/* while another host owned the account, only its reports count */
-	use->level = fmax(use->level, told_level(quota, use, now));
+	usage->level =
+		fmax(usage->level, drained_report_level(quota, usage, now));
 }
 
 /* Tokens a second that may be admitted of a scarce account. */
-static double fair_rate(const quota_t *quota, const quota_usage_t *use)
+static double fair_rate(const quota_t *quota, const quota_usage_t *usage)
 {
-	double drains = draining(quota, use->limit);
-	double off = AIM_PART * room(quota, use->limit) - use->level;
-
-	off /= SETTLE_SECONDS * drains;
-	return drains * (1 + fmin(fmax(off, -CORRECT_MOST), CORRECT_MOST));
+	double drains = drain_rate(quota, usage->limit);
+	double deviation =
+		TARGET_LEVEL_RATIO * bucket_size(quota, usage->limit) -
+		usage->level;
+
+	deviation /= TARGET_REACH_SECONDS * drains;
+	return drains * (1 + fmin(fmax(deviation, -RATE_CORRECTION_MAX),
+				  RATE_CORRECTION_MAX));
 }
 
-static bool fits(const quota_t *quota, quota_usage_t *use, uint32_t tier,
+static bool fits(const quota_t *quota, quota_usage_t *usage, uint32_t tier,
 		 double tokens, pimento_usec_t now)
 {
-	double most = room(quota, use->limit);
-	double kept;
+	double capacity = bucket_size(quota, usage->limit);
+	double reserved;
 
-	quota_share_fill(&use->share, fair_rate(quota, use), now);
-	kept = KEPT_PART * quota_share_reserved(&use->share, tier, tokens, now);
+	quota_share_refill(&usage->share, fair_rate(quota, usage), now);
+	reserved = URGENT_RESERVE_RATIO *
+		   quota_share_reserved(&usage->share, tier, tokens, now);
 	/* one that is larger than the whole bucket waits for an empty one */
-	if (use->level > 0 && use->level + tokens > most * (1 - kept))
+	if (usage->level > 0 &&
+	    usage->level + tokens > capacity * (1 - reserved))
 		return false;
-	return use->level <= SCARCE_PART * most ||
-	       quota_share_spend(&use->share, tier, tokens, now);
+	return usage->level <= SCARCE_LEVEL_RATIO * capacity ||
+	       quota_share_spend(&usage->share, tier, tokens, now);
 }
 
 int quota_admit(quota_t *quota, pimento_id_t account, quota_limit_t limit,
 		uint32_t tier, double tokens, pimento_usec_t now)
 {
-	quota_usage_t *use = find_or_add(quota, (uint32_t)account);
+	quota_usage_t *usage = find_or_add(quota, (uint32_t)account);
 
-	if (!use)
+	if (!usage)
 		return PIMENTO_ENOMEM;
 	if (!quota->started_at)
 		quota->started_at = now;
-	use->limit = limit;
-	if (!use->begun)
-		begin(quota, use, now);
-	drain(quota, use, now);
-	quota_share_ask(&use->share, tier, tokens, now);
-	use->admitted_at = now;
-	if (limit.per_second > 0 && !fits(quota, use, tier, tokens, now))
+	usage->limit = limit;
+	if (!usage->initialised)
+		init_level(quota, usage, now);
+	drain(quota, usage, now);
+	quota_share_add_demand(&usage->share, tier, tokens, now);
+	usage->admitted_at = now;
+	if (limit.tokens_per_second > 0 &&
+	    !fits(quota, usage, tier, tokens, now))
 		return PIMENTO_EFULL;
-	use->level += tokens;
+	usage->level += tokens;
 	return 0;
 }
 
 void quota_refund(quota_t *quota, pimento_id_t account, double tokens)
 {
-	quota_usage_t *use = find(quota, (uint32_t)account);
+	quota_usage_t *usage = find(quota, (uint32_t)account);
 
-	if (!use)
+	if (!usage)
 		return;
-	quota_share_refund(&use->share, tokens);
-	use->level = fmax(use->level - tokens, 0);
+	quota_share_refund(&usage->share, tokens);
+	usage->level = fmax(usage->level - tokens, 0);
 }
 
 pimento_usec_t quota_retry_after(const quota_t *quota, pimento_id_t account,
 				 quota_limit_t limit, double tokens)
 {
-	const quota_usage_t *use = find(quota, (uint32_t)account);
-	double over = (use ? use->level : 0) + tokens - room(quota, limit);
+	const quota_usage_t *usage = find(quota, (uint32_t)account);
+	double over =
+		(usage ? usage->level : 0) + tokens - bucket_size(quota, limit);
 	double wait = 0;
 
-	if (over > 0 && limit.per_second > 0)
-		wait = over / draining(quota, limit);
+	if (over > 0 && limit.tokens_per_second > 0)
+		wait = over / drain_rate(quota, limit);
 	return (pimento_usec_t)(wait * (double)PIMENTO_SEC);
 }
 
 double quota_level(const quota_t *quota, pimento_id_t account)
 {
-	const quota_usage_t *use = find(quota, (uint32_t)account);
+	const quota_usage_t *usage = find(quota, (uint32_t)account);
 
-	return use ? use->level : 0;
+	return usage ? usage->level : 0;
 }
 
-void quota_told(quota_t *quota, uint32_t account, double level,
-		pimento_usec_t at)
+void quota_apply_report(quota_t *quota, uint32_t account, double level,
+			pimento_usec_t at)
 {
-	quota_usage_t *use = find_or_add(quota, account);
+	quota_usage_t *usage = find_or_add(quota, account);
 
 	if (!quota->started_at)
 		quota->started_at = at;
-	if (!use || at <= use->told_at)
+	if (!usage || at <= usage->reported_at)
 		return;
-	use->told = level;
-	use->told_at = at;
+	usage->reported_level = level;
+	usage->reported_at = at;
 }
 
 /* What there is to pass on of an account; false if nothing recent. */
-static bool report_of(const quota_t *quota, quota_usage_t *use,
-		      pimento_usec_t now, quota_report_t *report)
+static bool make_report(const quota_t *quota, quota_usage_t *usage,
+			pimento_usec_t now, quota_report_t *report)
 {
-	report->account = use->account;
-	if (use->admitted_at && now - use->admitted_at < REPORT_AGE &&
-	    use->admitted_at >= use->told_at) {
-		drain(quota, use, now);
-		report->level = use->level;
+	report->account = usage->account;
+	if (usage->admitted_at && now - usage->admitted_at < REPORT_AGE_MAX &&
+	    usage->admitted_at >= usage->reported_at) {
+		drain(quota, usage, now);
+		report->level = usage->level;
 		report->age = 0;
 		return true;
 	}
-	report->level = use->told;
-	report->age = now - use->told_at;
-	return use->told_at && report->age < REPORT_AGE;
+	report->level = usage->reported_level;
+	report->age = now - usage->reported_at;
+	return usage->reported_at && report->age < REPORT_AGE_MAX;
 }
 
-uint32_t quota_reports(quota_t *quota, quota_report_t *reports, uint32_t max,
-		       pimento_usec_t now)
+uint32_t quota_collect_reports(quota_t *quota, quota_report_t *reports,
+			       uint32_t max, pimento_usec_t now)
 {
 	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < quota->count && count < max; i++) {
-		quota_usage_t *use = &quota->uses[quota->turn++ % quota->count];
+		quota_usage_t *usage =
+			&quota->usages[quota->next_report++ % quota->count];
 
-		if (report_of(quota, use, now, &reports[count]))
+		if (make_report(quota, usage, now, &reports[count]))
 			count++;
 	}
 	return count;
--- a/src/quota.h
+++ b/src/quota.h
@@ -10,8 +10,8 @@
 
 #include "quota_share.h"
 
-typedef struct quota_rate {
-	double per_second; /* tokens; 0 no limit */
+typedef struct quota_limit {
+	double tokens_per_second; /* tokens; 0 no limit */
 	double burst;
 } quota_limit_t;
 
@@ -22,27 +22,27 @@
 	pimento_usec_t age; /* since the owner reported it */
 } quota_report_t;
 
-typedef struct quota_use {
+typedef struct quota_usage {
 	uint32_t account;
 	quota_limit_t limit; /* as last stated */
 	uint64_t version; /* of the configuration that states it */
 	double level; /* tokens in the bucket */
-	bool begun; /* it was settled once */
-	pimento_usec_t settled; /* when level was last drained */
+	bool initialised; /* it was settled once */
+	pimento_usec_t drained_at; /* when level was last drained */
 	pimento_usec_t admitted_at; /* the last request; 0 never */
 	quota_share_t share; /* by tier, while the account is scarce */
-	double told; /* level, as another host reported it */
-	pimento_usec_t told_at; /* 0 never */
+	double reported_level; /* level, as another host reported it */
+	pimento_usec_t reported_at; /* 0 never */
 } quota_usage_t;
 
 typedef struct quota {
 	bool first_start; /* nothing can have been used before this host */
 	pimento_usec_t window; /* that the operator counts in */
 	pimento_usec_t started_at; /* first request or report; 0 none */
-	double part; /* of each limit that this host may give out, (0, 1] */
-	quota_usage_t *uses;
+	double limit_ratio; /* of each limit that this host may give out, (0, 1] */
+	quota_usage_t *usages;
 	uint32_t count;
-	uint32_t turn; /* of the accounts to be reported */
+	uint32_t next_report; /* of the accounts to be reported */
 } quota_t;
 
 void quota_init(quota_t *quota, pimento_usec_t window, bool first_start);
@@ -52,8 +52,8 @@
  * Takes the limit that a version of the configuration states, and returns the
  * one of the newest version seen.
  */
-quota_limit_t quota_state(quota_t *quota, uint32_t account, uint64_t version,
-			  quota_limit_t limit);
+quota_limit_t quota_update_limit(quota_t *quota, uint32_t account,
+				 uint64_t version, quota_limit_t limit);
 
 /*
  * Admits tokens if they fit, and counts them. Returns 0, PIMENTO_EFULL if the
@@ -76,14 +76,14 @@
  * Takes a report: the level at a time. A host that becomes the owner goes on
  * from there.
  */
-void quota_told(quota_t *quota, uint32_t account, double level,
-		pimento_usec_t at);
+void quota_apply_report(quota_t *quota, uint32_t account, double level,
+			pimento_usec_t at);
 
 /*
  * Reports to pass on, at most max, each time of other accounts: of those that
  * this host admits for, and what others reported lately. Returns how many.
  */
-uint32_t quota_reports(quota_t *quota, quota_report_t *reports, uint32_t max,
-		       pimento_usec_t now);
+uint32_t quota_collect_reports(quota_t *quota, quota_report_t *reports,
+			       uint32_t max, pimento_usec_t now);
 
 #endif
--- a/src/quota_fleet.h
+++ b/src/quota_fleet.h
@@ -13,10 +13,10 @@
 #include "roster.h"
 
 typedef enum quota_message_kind {
-	QUOTA_ASK,
+	QUOTA_REQUEST,
 	QUOTA_REPLY,
 	QUOTA_REFUND,
-	QUOTA_MESSAGES
+	QUOTA_MESSAGE_KINDS
 } quota_message_kind_t;
 
 /* What hosts send each other; a reply repeats what was asked. */
@@ -34,59 +34,60 @@
 	double level;
 } quota_message_t;
 
-typedef struct quota_verdict {
+typedef struct quota_decision {
 	bool admitted;
 	pimento_usec_t retry_after;
 	double level; /* of the account, where it was judged */
-	uint32_t judge; /* host that counted it; 0: this host's own part */
-} quota_verdict_t;
+	uint32_t
+		deciding_host; /* host that counted it; 0: this host's own part */
+} quota_decision_t;
 
 typedef struct quota_fleet_ops {
 	void (*send)(void *context, uint32_t address,
 		     const quota_message_t *message);
-	/* The answer to an ask, perhaps before quota_fleet_ask() returns. */
+	/* The answer to an ask, perhaps before quota_fleet_request() returns. */
 	void (*decided)(void *context, uint64_t ticket,
-			const quota_verdict_t *verdict);
+			const quota_decision_t *decision);
 } quota_fleet_ops_t;
 
 /* An ask without an answer. */
 typedef struct quota_pending {
-	quota_message_t ask;
-	pimento_usec_t asked_at;
+	quota_message_t req;
+	pimento_usec_t requested_at;
 	pimento_usec_t sent_at; /* last; 0: held back */
 	uint32_t sent_to;
 	uint32_t tries;
 } quota_pending_t;
 
 /* Hosts that did not answer lately. */
-#define QUOTA_FLEET_SILENT 8
+#define QUOTA_FLEET_UNRESPONSIVE_MAX 8
 
-typedef struct quota_fleet_silent {
+typedef struct quota_fleet_unresponsive {
 	uint32_t address;
 	pimento_usec_t until;
-} quota_fleet_silent_t;
+} quota_fleet_unresponsive_t;
 
 typedef struct quota_fleet {
 	const quota_fleet_ops_t *ops;
 	void *context;
-	roster_t *roster;
+	roster_t *peers;
 	quota_t owned; /* buckets of accounts, kept for all hosts */
-	quota_t own; /* this host's part, while no owner answers */
+	quota_t fallback; /* this host's part, while no owner answers */
 	quota_pending_t *pending;
 	uint32_t pending_count;
 	uint32_t pending_size;
-	quota_fleet_silent_t silent[QUOTA_FLEET_SILENT];
-	uint32_t silent_next;
+	quota_fleet_unresponsive_t unresponsive[QUOTA_FLEET_UNRESPONSIVE_MAX];
+	uint32_t unresponsive_next;
 	bool first_start;
-	uint64_t asked; /* counters */
+	uint64_t requests; /* counters */
 	uint64_t unanswered; /* sends without an answer in time */
-	uint64_t alone; /* judged by this host's own part */
+	uint64_t local_decisions; /* judged by this host's own part */
 } quota_fleet_t;
 
 typedef struct quota_fleet_setup {
 	const quota_fleet_ops_t *ops;
 	void *context;
-	roster_t *roster;
+	roster_t *peers;
 	pimento_usec_t window;
 	bool first_start;
 } quota_fleet_setup_t;
@@ -105,13 +106,13 @@
 } quota_request_t;
 
 /* Asks; decided() gets the answer. Returns 0 or PIMENTO_ENOMEM. */
-int quota_fleet_ask(quota_fleet_t *fleet, const quota_request_t *request,
-		    pimento_usec_t now);
+int quota_fleet_request(quota_fleet_t *fleet, const quota_request_t *request,
+			pimento_usec_t now);
 
 /* Nobody waits for the answer any more; what it admits is refunded. */
 void quota_fleet_cancel(quota_fleet_t *fleet, uint64_t ticket);
 
-/* A request that was admitted has not run; judge is the verdict's. */
+/* A request that was admitted has not run; judge is the decision's. */
 void quota_fleet_refund(quota_fleet_t *fleet, uint32_t judge,
 			pimento_id_t account, double tokens);
 
--- a/src/quota_share.h
+++ b/src/quota_share.h
@@ -12,24 +12,24 @@
 #define QUOTA_SHARE_TIERS 8
 
 typedef struct quota_share {
-	double asked[QUOTA_SHARE_TIERS]; /* tokens a second, decayed */
-	double size; /* mean of the requests, tokens; 0 unknown */
-	pimento_usec_t asked_at;
-	double credit_most;
+	double demand[QUOTA_SHARE_TIERS]; /* tokens a second, decayed */
+	double mean_tokens; /* mean of the requests, tokens; 0 unknown */
+	pimento_usec_t demand_updated_at;
+	double credit_max;
 	double credit; /* tokens that may be admitted; below 0: overdrawn */
-	pimento_usec_t filled_at;
+	pimento_usec_t refilled_at;
 } quota_share_t;
 
 /* Callers ask for tokens, admitted or not. */
-void quota_share_ask(quota_share_t *share, uint32_t tier, double tokens,
-		     pimento_usec_t now);
+void quota_share_add_demand(quota_share_t *share, uint32_t tier, double tokens,
+			    pimento_usec_t now);
 
 /* Tokens a second that callers asked for lately. */
-double quota_share_asked(const quota_share_t *share, pimento_usec_t now);
+double quota_share_demand(const quota_share_t *share, pimento_usec_t now);
 
 /* Credit flows in at this rate; call before each decision. */
-void quota_share_fill(quota_share_t *share, double per_second,
-		      pimento_usec_t now);
+void quota_share_refill(quota_share_t *share, double per_second,
+			pimento_usec_t now);
 
 /*
  * Part of what there is, 0 to 1, that a request leaves to more urgent ones, by
--- a/src/retry_budget.c
+++ b/src/retry_budget.c
@@ -8,48 +8,50 @@
 #include "retry_budget.h"
 
 /* Parts used of the ratio and of the even share of the slack. */
-#define RATIO_PART 0.85
-#define SLACK_PART 0.6
+#define RATIO_SAFETY_FACTOR 0.85
+#define SLACK_SAFETY_FACTOR 0.6
 
-static void advance(retry_budget_t *budget, const retry_budget_terms_t *terms,
-		    pimento_usec_t now)
+static void advance_window(retry_budget_t *budget,
+			   const retry_budget_limits_t *limits,
+			   pimento_usec_t now)
 {
-	int64_t part = now / (terms->window / RETRY_BUDGET_PARTS);
-	int64_t steps = part - budget->part;
+	int64_t part = now / (limits->window / RETRY_BUDGET_SLICES);
+	int64_t steps = part - budget->slice;
 
-	if (steps > RETRY_BUDGET_PARTS)
-		steps = RETRY_BUDGET_PARTS;
+	if (steps > RETRY_BUDGET_SLICES)
+		steps = RETRY_BUDGET_SLICES;
 	for (int64_t i = 0; i < steps; i++) {
-		budget->requests[(part - i) % RETRY_BUDGET_PARTS] = 0;
-		budget->repeats[(part - i) % RETRY_BUDGET_PARTS] = 0;
+		budget->requests[(part - i) % RETRY_BUDGET_SLICES] = 0;
+		budget->retries[(part - i) % RETRY_BUDGET_SLICES] = 0;
 	}
-	budget->part = part;
+	budget->slice = part;
 }
 
-void retry_budget_request(retry_budget_t *budget,
-			  const retry_budget_terms_t *terms, pimento_usec_t now)
+void retry_budget_add_request(retry_budget_t *budget,
+			      const retry_budget_limits_t *limits,
+			      pimento_usec_t now)
 {
-	advance(budget, terms, now);
-	budget->requests[budget->part % RETRY_BUDGET_PARTS]++;
+	advance_window(budget, limits, now);
+	budget->requests[budget->slice % RETRY_BUDGET_SLICES]++;
 }
 
 bool retry_budget_take(retry_budget_t *budget,
-		       const retry_budget_terms_t *terms, uint32_t hosts,
+		       const retry_budget_limits_t *limits, uint32_t hosts,
 		       pimento_usec_t now)
 {
 	double requests = 0;
-	double repeats = 0;
-	double most;
+	double retries = 0;
+	double allowed;
 
-	advance(budget, terms, now);
-	for (uint32_t i = 0; i < RETRY_BUDGET_PARTS; i++) {
+	advance_window(budget, limits, now);
+	for (uint32_t i = 0; i < RETRY_BUDGET_SLICES; i++) {
 		requests += budget->requests[i];
-		repeats += budget->repeats[i];
+		retries += budget->retries[i];
 	}
-	most = terms->ratio * requests * RATIO_PART +
-	       terms->slack * SLACK_PART / (hosts ? hosts : 1);
-	if (repeats + 1 > most)
+	allowed = limits->ratio * requests * RATIO_SAFETY_FACTOR +
+		  limits->slack * SLACK_SAFETY_FACTOR / (hosts ? hosts : 1);
+	if (retries + 1 > allowed)
 		return false;
-	budget->repeats[budget->part % RETRY_BUDGET_PARTS]++;
+	budget->retries[budget->slice % RETRY_BUDGET_SLICES]++;
 	return true;
 }
--- a/src/wait_queue.c
+++ b/src/wait_queue.c
@@ -1,8 +1,8 @@
 /*
- * In an overload the line would grow without end, and in a line that is
+ * In an overload the queue would grow without end, and in a queue that is
  * served in order everybody would be answered just too late. So a request
  * that cannot be on time any more goes behind all that can, and leaves the
- * line with a true "not run" while its caller still has time to come back.
+ * queue with a true "not run" while its caller still has time to come back.
  */
 
 #include "wait_queue.h"
@@ -12,90 +12,91 @@
  * it came: long enough to outlast a burst of a few seconds, short enough to
  * leave the caller most of the time for another attempt.
  */
-#define LATE_WAIT_PART 0.2
+#define OVERDUE_WAIT_RATIO 0.2
 
 /*
  * Callers leave a stream that is silent for the longest of these, before its
  * first event too; a request that waits longer is held in vain. The part keeps
  * clear of that bound.
  */
-#define SILENCE_LEAST (2 * PIMENTO_SEC)
-#define SILENCE_GOALS 4
-#define SILENCE_GAPS 8
-#define SILENCE_PART 0.8
+#define IDLE_TIMEOUT_MIN (2 * PIMENTO_SEC)
+#define IDLE_TIMEOUT_OBJECTIVES 4
+#define IDLE_TIMEOUT_GAPS 8
+#define IDLE_TIMEOUT_RATIO 0.8
 
 /*
  * Among equals goes first who would be done first, had it gone when it came,
  * with this part of its expected stay: one long answer holds a slot for as
  * long as twenty short ones. Its turn comes as it waits.
  */
-#define HOLD_PART 1.0
+#define SLOT_TIME_WEIGHT 1.0
 
 /* Bounds and spread of the time that a caller is told to stay away. */
-#define RETRY_AFTER_LEAST (200 * PIMENTO_MSEC)
-#define RETRY_AFTER_MOST (5 * PIMENTO_SEC)
+#define RETRY_AFTER_MIN (200 * PIMENTO_MSEC)
+#define RETRY_AFTER_MAX (5 * PIMENTO_SEC)
 /*
  * Those turned away before return too: the queue here is a part of what is
  * ahead.
  */
-#define RETRY_AFTER_TIMES 2.5
+#define RETRY_AFTER_BACKLOG_FACTOR 2.5
 
 static bool goes_before(const wait_queue_item_t *a, const wait_queue_item_t *b)
 {
-	if (a->late != b->late)
-		return b->late;
+	if (a->overdue != b->overdue)
+		return b->overdue;
 	if (a->rank != b->rank)
 		return a->rank < b->rank;
-	return a->order_at < b->order_at;
+	return a->order_key < b->order_key;
 }
 
-void wait_queue_push(wait_queue_t *line, wait_queue_item_t *item)
+void wait_queue_push(wait_queue_t *queue, wait_queue_item_t *item)
 {
-	wait_queue_item_t *before = line->last;
+	wait_queue_item_t *before = queue->last;
 
 	while (before && goes_before(item, before))
 		before = before->prev;
 	item->prev = before;
-	item->next = before ? before->next : line->first;
+	item->next = before ? before->next : queue->first;
 	if (item->next)
 		item->next->prev = item;
 	else
-		line->last = item;
+		queue->last = item;
 	if (before)
 		before->next = item;
 	else
-		line->first = item;
-	line->count++;
+		queue->first = item;
+	queue->count++;
 }
 
-void wait_queue_remove(wait_queue_t *line, wait_queue_item_t *item)
+void wait_queue_remove(wait_queue_t *queue, wait_queue_item_t *item)
 {
 	if (item->prev)
 		item->prev->next = item->next;
 	else
-		line->first = item->next;
+		queue->first = item->next;
 	if (item->next)
 		item->next->prev = item->prev;
 	else
-		line->last = item->prev;
+		queue->last = item->prev;
 	item->next = NULL;
 	item->prev = NULL;
-	line->count--;
+	queue->count--;
 }
 
-wait_queue_item_t *wait_queue_expired(wait_queue_t *line, pimento_usec_t now)
+wait_queue_item_t *wait_queue_next_expired(wait_queue_t *queue,
+					   pimento_usec_t now)
 {
-	wait_queue_item_t *item = line->first;
+	wait_queue_item_t *item = queue->first;
 
 	while (item) {
 		wait_queue_item_t *next = item->next;
 
-		if (now >= item->give_up_at)
+		if (now >= item->expires_at)
 			return item;
-		if (!item->late && now >= item->late_at) {
-			wait_queue_remove(line, item);
-			item->late = true;
-			wait_queue_push(line, item);
+		if (!item->overdue && now >= item->overdue_at) {
+			wait_queue_remove(queue, item);
+			item->overdue = true;
+			wait_queue_push(queue, item);
 		}
 		item = next;
 	}
@@ -103,61 +104,65 @@
 }
 
 /* How long a caller stays with a stream that shows nothing. */
-static pimento_usec_t longest_silence(const wait_queue_terms_t *terms)
+static pimento_usec_t stream_idle_timeout(const wait_queue_timing_t *timing)
 {
-	pimento_usec_t span = SILENCE_LEAST;
+	pimento_usec_t span = IDLE_TIMEOUT_MIN;
 
-	if (span < terms->goal * SILENCE_GOALS)
-		span = terms->goal * SILENCE_GOALS;
-	if (span < terms->gap_goal * SILENCE_GAPS)
-		span = terms->gap_goal * SILENCE_GAPS;
-	return (pimento_usec_t)((double)span * SILENCE_PART);
+	if (span < timing->objective * IDLE_TIMEOUT_OBJECTIVES)
+		span = timing->objective * IDLE_TIMEOUT_OBJECTIVES;
+	if (span < timing->gap_objective * IDLE_TIMEOUT_GAPS)
+		span = timing->gap_objective * IDLE_TIMEOUT_GAPS;
+	return (pimento_usec_t)((double)span * IDLE_TIMEOUT_RATIO);
 }
 
 void wait_queue_set_times(wait_queue_item_t *item,
-			  const wait_queue_terms_t *terms)
+			  const wait_queue_timing_t *timing)
 {
-	pimento_usec_t left = terms->end - terms->arrived;
-	pimento_usec_t wait = (pimento_usec_t)((double)left * LATE_WAIT_PART);
-	pimento_usec_t silence = longest_silence(terms) - terms->expect;
-
-	if (terms->gap_goal && wait > silence)
-		wait = silence;
-
-	item->since = terms->arrived - terms->spent;
-	item->order_at =
-		item->since + (pimento_usec_t)(HOLD_PART * (double)terms->hold);
-	item->late_at = item->since + terms->goal - terms->expect;
-	item->late = item->late_at <= terms->arrived;
-	item->give_up_at = terms->arrived + wait;
-	if (item->give_up_at < item->late_at)
-		item->give_up_at = item->late_at;
-	if (item->give_up_at > terms->end)
-		item->give_up_at = terms->end;
+	pimento_usec_t left = timing->deadline - timing->arrived;
+	pimento_usec_t wait =
+		(pimento_usec_t)((double)left * OVERDUE_WAIT_RATIO);
+	pimento_usec_t idle_wait =
+		stream_idle_timeout(timing) - timing->expected_latency;
+
+	if (timing->gap_objective && wait > idle_wait)
+		wait = idle_wait;
+
+	item->first_attempt_at = timing->arrived - timing->spent_before;
+	item->order_key = item->first_attempt_at +
+			  (pimento_usec_t)(SLOT_TIME_WEIGHT *
+					   (double)timing->expected_slot_time);
+	item->overdue_at = item->first_attempt_at + timing->objective -
+			   timing->expected_latency;
+	item->overdue = item->overdue_at <= timing->arrived;
+	item->expires_at = timing->arrived + wait;
+	if (item->expires_at < item->overdue_at)
+		item->expires_at = item->overdue_at;
+	if (item->expires_at > timing->deadline)
+		item->expires_at = timing->deadline;
 }
 
-void wait_queue_set_begun(wait_queue_item_t *item,
-			  const wait_queue_terms_t *terms,
-			  pimento_usec_t heard_at)
+void wait_queue_set_resumed(wait_queue_item_t *item,
+			    const wait_queue_timing_t *timing,
+			    pimento_usec_t last_sent_at)
 {
-	item->late = false;
-	item->order_at = item->since;
-	item->give_up_at = heard_at + longest_silence(terms);
-	if (item->give_up_at > terms->end)
-		item->give_up_at = terms->end;
-	item->late_at = item->give_up_at;
+	item->overdue = false;
+	item->order_key = item->first_attempt_at;
+	item->expires_at = last_sent_at + stream_idle_timeout(timing);
+	if (item->expires_at > timing->deadline)
+		item->expires_at = timing->deadline;
+	item->overdue_at = item->expires_at;
 }
 
 pimento_usec_t wait_queue_retry_after(uint32_t backlog, double per_second,
-				      uint64_t draw)
+				      uint64_t random_bits)
 {
-	double seconds =
-		RETRY_AFTER_TIMES * ((double)backlog + 1) / (per_second + 1);
+	double seconds = RETRY_AFTER_BACKLOG_FACTOR * ((double)backlog + 1) /
+			 (per_second + 1);
 	pimento_usec_t wait = (pimento_usec_t)(seconds * (double)PIMENTO_SEC);
 
-	if (wait < RETRY_AFTER_LEAST)
-		wait = RETRY_AFTER_LEAST;
-	if (wait > RETRY_AFTER_MOST)
-		wait = RETRY_AFTER_MOST;
-	return wait / 2 + (pimento_usec_t)(draw % (uint64_t)wait);
+	if (wait < RETRY_AFTER_MIN)
+		wait = RETRY_AFTER_MIN;
+	if (wait > RETRY_AFTER_MAX)
+		wait = RETRY_AFTER_MAX;
+	return wait / 2 + (pimento_usec_t)(random_bits % (uint64_t)wait);
 }
--- a/test/roster_world.c
+++ b/test/roster_world.c
@@ -91,9 +91,10 @@
 	note->address = roster_world_address(from);
 	note->incarnation = world->hosts[from].incarnation;
 	note->stamp = ++world->now; /* no two notes at the same moment */
-	note->quota_count = quota ? quota_reports(quota, note->quotas,
-						  ROSTER_QUOTAS_MAX, world->now)
-				  : 0;
+	note->quota_count =
+		quota ? quota_collect_reports(quota, note->quotas,
+					      ROSTER_QUOTAS_MAX, world->now)
+		      : 0;
 	world->hosts[from].notes++;
 	if (world->measure)
 		measure(&world->hosts[from], note);
@@ -105,9 +106,10 @@
 	roster_receive(&world->hosts[to].roster, note, world->now, fresh);
 	for (uint32_t i = 0; world->hosts[to].quota && i < note->quota_count;
 	     i++)
-		quota_told(world->hosts[to].quota, note->quotas[i].account,
-			   note->quotas[i].level,
-			   world->now - note->quotas[i].age);
+		quota_apply_report(world->hosts[to].quota,
+				   note->quotas[i].account,
+				   note->quotas[i].level,
+				   world->now - note->quotas[i].age);
 	send_probes(world, to);
 }
 
--- a/test/test_patience.c
+++ b/test/test_client_timeout.c
@@ -1,6 +1,6 @@
 /* What a caller has spent before, judged by the time that it brings. */
 
-#include "patience.h"
+#include "client_timeout.h"
 
 #include <check.h>
 #include <stdlib.h>
@@ -15,7 +15,7 @@
 static const struct {
 	const char *what;
 	uint32_t count;
-	int64_t shown[4]; /* milliseconds, one request after the other */
+	int64_t time_left_ms[4]; /* milliseconds, one request after the other */
 	int64_t spent; /* of the last one */
 } cases[] = {
 	{ "the first request of a route", 1, { 12000 }, 0 },
@@ -28,13 +28,14 @@
 	{ "more patient than all before", 2, { 3000, 12000 }, 0 },
 };
 
-START_TEST(only_a_clear_lack_counts)
+START_TEST(small_timeout_differences_are_not_time_spent)
 {
-	patience_t patience = { 0 };
+	client_timeout_t patience = { 0 };
 	int64_t spent = 0;
 
 	for (uint32_t i = 0; i < cases[_i].count; i++)
-		spent = patience_spent(&patience, cases[_i].shown[i] * MS);
+		spent = client_timeout_elapsed(&patience,
+					       cases[_i].time_left_ms[i] * MS);
 	ck_assert_msg(spent / MS == cases[_i].spent, "%s: %lld", cases[_i].what,
 		      (long long)(spent / MS));
 }
@@ -47,8 +48,8 @@
 	SRunner *runner;
 	int failed;
 
-	tcase_add_loop_test(tests, only_a_clear_lack_counts, 0,
-			    sizeof(cases) / sizeof(cases[0]));
+	tcase_add_loop_test(tests, small_timeout_differences_are_not_time_spent,
+			    0, sizeof(cases) / sizeof(cases[0]));
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_placement.c
+++ b/test/test_placement.c
@@ -7,31 +7,32 @@
 #include <stdlib.h>
 
 #define SERVICE "engines"
-enum { ENDPOINTS = 4, SLOTS = 10, FAST_GAP_MS = 20, SLOW = 3 };
+enum { ENDPOINTS = 4, SLOTS = 10, FAST_GAP_MS = 20, SLOW_FACTOR = 3 };
 
 static directory_t directory;
 static directory_endpoint_t *endpoints[ENDPOINTS];
-static pace_service_t *service;
+static latency_service_t *service;
 
 /* The last endpoint takes three times as long for everything. */
-static void learn(void)
+static void train_latency_models(void)
 {
 	for (int i = 0; i < 400; i++) {
 		for (int e = 0; e < ENDPOINTS; e++) {
-			int slow = e == ENDPOINTS - 1 ? SLOW : 1;
+			int slow = e == ENDPOINTS - 1 ? SLOW_FACTOR : 1;
 
-			pace_gap(&endpoints[e]->pace, service,
-				 slow * FAST_GAP_MS * PIMENTO_MSEC);
+			latency_add_gap(&endpoints[e]->pace, service,
+					slow * FAST_GAP_MS * PIMENTO_MSEC);
 		}
 	}
 	for (int i = 0; i < 100; i++) {
 		int e = i % ENDPOINTS;
-		int slow = e == ENDPOINTS - 1 ? SLOW : 1;
+		int slow = e == ENDPOINTS - 1 ? SLOW_FACTOR : 1;
 		uint32_t prompt = 1000 + (uint32_t)i * 50;
 
-		pace_first(&endpoints[e]->pace, service,
-			   slow * (60 + prompt / 100) * PIMENTO_MSEC, prompt);
-		pace_length(service, 60, 10);
+		latency_add_first_event(
+			&endpoints[e]->pace, service,
+			slow * (60 + prompt / 100) * PIMENTO_MSEC, prompt);
+		latency_add_length(service, 60, 10);
 	}
 }
 
@@ -52,7 +53,7 @@
 		ck_assert_ptr_nonnull(endpoints[i]);
 	}
 	service = &directory_service(&directory, pimento_id(SERVICE))->pace;
-	learn();
+	train_latency_models();
 }
 
 static void teardown(void)
@@ -63,22 +64,22 @@
 static placement_request_t stream(uint32_t prompt, uint32_t answer)
 {
 	return (placement_request_t){ .service = pimento_id(SERVICE),
-				      .prompt = prompt,
-				      .answer = answer,
-				      .left = 10 * PIMENTO_SEC,
-				      .gap_goal = 300 * PIMENTO_MSEC,
-				      .engine = true,
+				      .prompt_tokens = prompt,
+				      .answer_tokens = answer,
+				      .time_left = 10 * PIMENTO_SEC,
+				      .gap_objective = 300 * PIMENTO_MSEC,
+				      .engine_stream = true,
 				      .datacentre = "a",
-				      .draw = 1 };
+				      .random_bits = 1 };
 }
 
-static placement_verdict_t place(const placement_request_t *request,
-				 directory_endpoint_t **endpoint)
+static placement_result_t place(const placement_request_t *request,
+				directory_endpoint_t **endpoint)
 {
 	return placement_choose(&directory, request, PIMENTO_SEC, endpoint);
 }
 
-START_TEST(idle_endpoints_are_chosen_by_their_speed)
+START_TEST(faster_idle_endpoints_are_preferred)
 {
 	placement_request_t request = stream(1000, 60);
 	directory_endpoint_t *endpoint;
@@ -93,14 +94,14 @@
 END_TEST
 
 /* Guards against a new connection for each request of a host with few. */
-START_TEST(a_host_stays_with_its_idle_connections)
+START_TEST(endpoints_with_idle_connections_are_preferred)
 {
 	placement_request_t request = stream(1000, 60);
 	directory_endpoint_t *endpoint;
 
 	endpoints[1]->idle_connections = 1;
 	for (uint64_t draw = 0; draw < 50; draw++) {
-		request.draw = draw * 977;
+		request.random_bits = draw * 977;
 		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 		ck_assert_ptr_eq(endpoint, endpoints[1]);
 	}
@@ -111,14 +112,14 @@
 END_TEST
 
 /* Guards against slow answers for the sake of a connection. */
-START_TEST(an_idle_connection_to_a_slow_endpoint_stays_unused)
+START_TEST(idle_connection_does_not_outweigh_slow_endpoint)
 {
 	placement_request_t request = stream(1000, 60);
 	directory_endpoint_t *endpoint;
 
 	endpoints[ENDPOINTS - 1]->idle_connections = 1;
 	for (uint64_t draw = 0; draw < 50; draw++) {
-		request.draw = draw * 977;
+		request.random_bits = draw * 977;
 		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 		ck_assert_ptr_ne(endpoint, endpoints[ENDPOINTS - 1]);
 	}
@@ -130,7 +131,7 @@
  * its caller stays. It holds a place for all that time and is cut at the last
  * moment; the caller sees a long answer that never ends.
  */
-START_TEST(a_long_answer_waits_for_an_endpoint_that_can_finish)
+START_TEST(long_answer_waits_for_endpoint_within_deadline)
 {
 	placement_request_t request = stream(1000, 60 * 30); /* 300 events */
 	directory_endpoint_t *endpoint;
@@ -155,9 +156,9 @@
 	uint32_t answer; /* tokens; six make an event */
 	pimento_usec_t goal;
 	bool late;
-	bool fast_ones_gone;
-	placement_verdict_t verdict;
-} slow_places[] = {
+	bool fast_endpoints_leaving;
+	placement_result_t verdict;
+} slow_endpoint_cases[] = {
 	{ "a long answer waits", 240, 600 * PIMENTO_MSEC, false, false,
 	  PLACEMENT_FULL },
 	{ "a short one goes", 24, 600 * PIMENTO_MSEC, false, false,
@@ -169,20 +170,23 @@
 	  PLACEMENT_FOUND },
 };
 
-START_TEST(long_answers_leave_slow_places_to_short_ones)
+START_TEST(long_answers_do_not_occupy_slow_slots)
 {
-	placement_request_t request = stream(1000, slow_places[_i].answer);
+	placement_request_t request =
+		stream(1000, slow_endpoint_cases[_i].answer);
 	directory_endpoint_t *endpoint;
 
-	request.goal = slow_places[_i].goal;
-	request.late = slow_places[_i].late;
+	request.objective = slow_endpoint_cases[_i].goal;
+	request.overdue = slow_endpoint_cases[_i].late;
 	for (int i = 0; i < ENDPOINTS - 1; i++) {
 		endpoints[i]->running = SLOTS + 1;
-		endpoints[i]->leaving = slow_places[_i].fast_ones_gone;
+		endpoints[i]->leaving =
+			slow_endpoint_cases[_i].fast_endpoints_leaving;
 	}
-	ck_assert_msg(place(&request, &endpoint) == slow_places[_i].verdict,
-		      "%s", slow_places[_i].what);
-	if (slow_places[_i].verdict == PLACEMENT_FOUND)
+	ck_assert_msg(place(&request, &endpoint) ==
+			      slow_endpoint_cases[_i].verdict,
+		      "%s", slow_endpoint_cases[_i].what);
+	if (slow_endpoint_cases[_i].verdict == PLACEMENT_FOUND)
 		ck_assert_ptr_eq(endpoint, endpoints[ENDPOINTS - 1]);
 }
 END_TEST
@@ -195,11 +199,11 @@
  */
 static const struct {
 	const char *what;
-	pimento_usec_t begin_within;
+	pimento_usec_t first_event_within;
 	bool late;
-	bool fast_ones_gone;
-	placement_verdict_t verdict;
-} beginnings[] = {
+	bool fast_endpoints_leaving;
+	placement_result_t verdict;
+} first_event_cases[] = {
 	{ "it waits for a fast one", 150 * PIMENTO_MSEC, false, false,
 	  PLACEMENT_FULL },
 	{ "the slow one is fast enough", 400 * PIMENTO_MSEC, false, false,
@@ -210,20 +214,22 @@
 	  PLACEMENT_FOUND },
 };
 
-START_TEST(a_request_waits_for_an_endpoint_that_begins_in_time)
+START_TEST(request_waits_for_endpoint_meeting_objective)
 {
 	placement_request_t request = stream(1000, 24);
 	directory_endpoint_t *endpoint;
 
-	request.begin_within = beginnings[_i].begin_within;
-	request.late = beginnings[_i].late;
+	request.first_event_within = first_event_cases[_i].first_event_within;
+	request.overdue = first_event_cases[_i].late;
 	for (int i = 0; i < ENDPOINTS - 1; i++) {
 		endpoints[i]->running = SLOTS + 1;
-		endpoints[i]->leaving = beginnings[_i].fast_ones_gone;
+		endpoints[i]->leaving =
+			first_event_cases[_i].fast_endpoints_leaving;
 	}
-	ck_assert_msg(place(&request, &endpoint) == beginnings[_i].verdict,
-		      "%s", beginnings[_i].what);
-	if (beginnings[_i].verdict == PLACEMENT_FOUND)
+	ck_assert_msg(place(&request, &endpoint) ==
+			      first_event_cases[_i].verdict,
+		      "%s", first_event_cases[_i].what);
+	if (first_event_cases[_i].verdict == PLACEMENT_FOUND)
 		ck_assert_ptr_eq(endpoint, endpoints[ENDPOINTS - 1]);
 }
 END_TEST
@@ -235,23 +241,27 @@
  * deadline after ten seconds, though fast engines would have had room some
  * milliseconds later.
  */
-START_TEST(a_place_is_taken_only_where_the_owners_word_lets)
+START_TEST(grant_is_declined_if_owner_reports_slow_endpoint)
 {
 	const directory_word_t word = { .gap_us = 160 * PIMENTO_MSEC };
 	placement_request_t request = stream(1000, 600); /* a hundred events */
 	directory_endpoint_t *slow = endpoints[ENDPOINTS - 1];
 
-	pace_init(&slow->pace);
-	ck_assert(placement_suits(&directory, &request, slow, PIMENTO_SEC));
+	latency_init(&slow->pace);
+	ck_assert(placement_accepts_grant(&directory, &request, slow,
+					  PIMENTO_SEC));
 	directory_told(slow, &word, PIMENTO_SEC);
-	ck_assert(!placement_suits(&directory, &request, slow, PIMENTO_SEC));
-	request.answer = 24;
-	ck_assert(placement_suits(&directory, &request, slow, PIMENTO_SEC));
+	ck_assert(!placement_accepts_grant(&directory, &request, slow,
+					   PIMENTO_SEC));
+	request.answer_tokens = 24;
+	ck_assert(placement_accepts_grant(&directory, &request, slow,
+					  PIMENTO_SEC));
 	/* where all are slow it is as good as the others */
-	request.answer = 600;
+	request.answer_tokens = 600;
 	for (int i = 0; i < ENDPOINTS; i++)
 		directory_told(endpoints[i], &word, PIMENTO_SEC);
-	ck_assert(placement_suits(&directory, &request, slow, PIMENTO_SEC));
+	ck_assert(placement_accepts_grant(&directory, &request, slow,
+					  PIMENTO_SEC));
 }
 END_TEST
 
@@ -260,16 +270,16 @@
  * nobody would see that it has recovered, and its places would stand empty
  * while callers are turned away.
  */
-START_TEST(late_answers_find_out_whether_pauses_are_still_long)
+START_TEST(overdue_requests_probe_endpoints_with_long_gaps)
 {
 	placement_request_t request = stream(1000, 24);
 	directory_endpoint_t *endpoint;
 
-	endpoints[3]->pace.gap = 290 * PIMENTO_MSEC;
+	endpoints[3]->pace.event_gap_us = 290 * PIMENTO_MSEC;
 	for (int i = 0; i < ENDPOINTS - 1; i++)
 		endpoints[i]->running = SLOTS + 1;
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
-	request.late = true;
+	request.overdue = true;
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_eq(endpoint, endpoints[3]);
 }
@@ -279,21 +289,21 @@
  * A request that waits stands in the lines of several engines; it must not
  * ask the same one twice.
  */
-START_TEST(an_endpoint_that_is_asked_already_is_not_asked_again)
+START_TEST(request_queues_once_per_endpoint)
 {
 	placement_request_t request = stream(1000, 60);
 	pimento_id_t asked[ENDPOINTS];
 	directory_endpoint_t *endpoint;
 
-	request.in_line = true;
-	request.asked = asked;
+	request.may_queue = true;
+	request.queued_at = asked;
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoints[i]->running = SLOTS + 1;
 	for (uint32_t i = 0; i < ENDPOINTS; i++) {
 		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 		for (uint32_t j = 0; j < i; j++)
 			ck_assert(asked[j] != endpoint->key);
-		asked[request.asked_count++] = endpoint->key;
+		asked[request.queued_at_count++] = endpoint->key;
 	}
 	ck_assert_int_ne(place(&request, &endpoint), PLACEMENT_FOUND);
 }
@@ -304,12 +314,12 @@
  * still chose that engine to wait at would wait nowhere, and its caller be
  * turned away although the other engines go on giving places.
  */
-START_TEST(a_request_waits_where_an_owner_answers)
+START_TEST(request_does_not_queue_at_unresponsive_owner)
 {
 	placement_request_t request = stream(1000, 60);
 	directory_endpoint_t *endpoint;
 
-	request.in_line = true;
+	request.may_queue = true;
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoints[i]->running = SLOTS + 1;
 	for (int i = 0; i < ENDPOINTS - 1; i++)
@@ -319,7 +329,7 @@
 	endpoints[ENDPOINTS - 1]->owner_silent_until = 2 * PIMENTO_SEC;
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
 	/* a place that is free is taken without the owner's leave */
-	request.in_line = false;
+	request.may_queue = false;
 	endpoints[0]->running = 0;
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_eq(endpoint, endpoints[0]);
@@ -334,50 +344,57 @@
  */
 static const struct {
 	const char *what;
-	pace_finding_t findings[6];
+	latency_outcome_t outcomes[6];
 	bool ejected;
-} findings[] = {
+} outcomes[] = {
 	{ "four breaks in a row",
-	  { PACE_BREAKS, PACE_BREAKS, PACE_BREAKS, PACE_BREAKS },
+	  { LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET,
+	    LATENCY_OUTCOME_RESET },
 	  true },
 	{ "three are chance",
-	  { PACE_BREAKS, PACE_BREAKS, PACE_BREAKS },
+	  { LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET,
+	    LATENCY_OUTCOME_RESET },
 	  false },
 	{ "an answer between them",
-	  { PACE_BREAKS, PACE_BREAKS, PACE_BREAKS, PACE_ANSWERS, PACE_BREAKS,
-	    PACE_BREAKS },
+	  { LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET,
+	    LATENCY_OUTCOME_ANSWERED, LATENCY_OUTCOME_RESET,
+	    LATENCY_OUTCOME_RESET },
 	  false },
 	{ "callers that left say nothing",
-	  { PACE_BREAKS, PACE_BREAKS, PACE_NOTHING, PACE_BREAKS, PACE_BREAKS },
+	  { LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_NONE,
+	    LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET },
 	  true },
 	{ "four failures in a row",
-	  { PACE_FAILS, PACE_FAILS, PACE_FAILS, PACE_FAILS },
+	  { LATENCY_OUTCOME_FAILED, LATENCY_OUTCOME_FAILED,
+	    LATENCY_OUTCOME_FAILED, LATENCY_OUTCOME_FAILED },
 	  true },
 	{ "failures and breaks",
-	  { PACE_FAILS, PACE_BREAKS, PACE_FAILS, PACE_BREAKS },
+	  { LATENCY_OUTCOME_FAILED, LATENCY_OUTCOME_RESET,
+	    LATENCY_OUTCOME_FAILED, LATENCY_OUTCOME_RESET },
 	  true },
 	{ "half of its answers fail",
-	  { PACE_FAILS, PACE_ANSWERS, PACE_FAILS, PACE_FAILS, PACE_ANSWERS,
-	    PACE_FAILS },
+	  { LATENCY_OUTCOME_FAILED, LATENCY_OUTCOME_ANSWERED,
+	    LATENCY_OUTCOME_FAILED, LATENCY_OUTCOME_FAILED,
+	    LATENCY_OUTCOME_ANSWERED, LATENCY_OUTCOME_FAILED },
 	  false },
-	{ "nobody there", { PACE_UNREACHED }, true },
-	{ "full, for a moment", { PACE_FULL }, true },
+	{ "nobody there", { LATENCY_OUTCOME_UNREACHABLE }, true },
+	{ "full, for a moment", { LATENCY_OUTCOME_FULL }, true },
 };
 
-START_TEST(an_engine_that_breaks_connections_is_left_alone)
+START_TEST(consecutive_errors_eject_endpoint)
 {
-	pace_t *pace = &endpoints[0]->pace;
+	latency_model_t *pace = &endpoints[0]->pace;
 
 	for (int i = 0; i < 6; i++)
-		pace_found(pace, service, findings[_i].findings[i],
-			   PIMENTO_SEC);
+		latency_update_ejection(pace, service, outcomes[_i].outcomes[i],
+					PIMENTO_SEC);
 	ck_assert_msg((pace->ejected_until > PIMENTO_SEC) ==
-			      findings[_i].ejected,
-		      "%s", findings[_i].what);
+			      outcomes[_i].ejected,
+		      "%s", outcomes[_i].what);
 }
 END_TEST
 
-START_TEST(an_answer_too_long_for_all_is_tried_anyway)
+START_TEST(answer_too_long_for_every_endpoint_is_still_placed)
 {
 	placement_request_t request = stream(1000, 60 * 300);
 	directory_endpoint_t *endpoint;
@@ -393,14 +410,14 @@
  * callers leave, and each caller sees an answer that breaks off after ten
  * seconds.
  */
-START_TEST(a_guess_beyond_all_reach_waits_for_a_fast_endpoint)
+START_TEST(overlong_length_hint_waits_for_fast_endpoint)
 {
 	/* 600 events: 12 s at a fast endpoint, 36 s at the slow one */
 	placement_request_t request = stream(1000, 60 * 60);
 	directory_endpoint_t *endpoint;
 
 	for (int late = 0; late < 2; late++) {
-		request.late = late;
+		request.overdue = late;
 		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 		ck_assert_ptr_ne(endpoint, endpoints[ENDPOINTS - 1]);
 	}
@@ -415,18 +432,18 @@
  * expect little some get much. Taken at their word, long answers would find no
  * engine fast enough.
  */
-START_TEST(long_guesses_are_taken_for_what_they_were_before)
+START_TEST(length_hints_are_corrected_by_observed_lengths)
 {
-	pace_service_t fresh = { 0 };
+	latency_service_t fresh = { 0 };
 
 	for (uint32_t i = 0; i < 100; i++) {
-		pace_length(&fresh, 100, 10);
-		pace_length(&fresh, 1000, 50);
+		latency_add_length(&fresh, 100, 10);
+		latency_add_length(&fresh, 1000, 50);
 	}
-	ck_assert_double_eq_tol(pace_events_expect(&fresh, 100), 10, 0.1);
-	ck_assert_double_eq_tol(pace_events_expect(&fresh, 1000), 50, 0.5);
-	ck_assert_double_eq_tol(pace_events_expect(&fresh, 10000), 250, 3);
-	ck_assert_double_eq(pace_events_expect(&fresh, 0), 0);
+	ck_assert_double_eq_tol(latency_expected_events(&fresh, 100), 10, 0.1);
+	ck_assert_double_eq_tol(latency_expected_events(&fresh, 1000), 50, 0.5);
+	ck_assert_double_eq_tol(latency_expected_events(&fresh, 10000), 250, 3);
+	ck_assert_double_eq(latency_expected_events(&fresh, 0), 0);
 }
 END_TEST
 
@@ -436,25 +453,25 @@
  * waiting request would try it, many times a second, and none would wait for a
  * place that does become free.
  */
-START_TEST(a_dead_endpoint_is_no_overflow_for_full_ones)
+START_TEST(ejected_endpoint_gets_no_overflow_from_full_ones)
 {
 	placement_request_t request = stream(1000, 60);
 	directory_endpoint_t *endpoint;
 
-	pace_unreachable(&endpoints[0]->pace, PIMENTO_SEC);
+	latency_eject_unreachable(&endpoints[0]->pace, PIMENTO_SEC);
 	for (int i = 1; i < ENDPOINTS; i++)
 		endpoints[i]->running = SLOTS + 1;
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
 }
 END_TEST
 
-START_TEST(when_all_are_dead_one_request_at_a_time_finds_out)
+START_TEST(all_ejected_endpoints_get_one_trial_request_each)
 {
 	placement_request_t request = stream(1000, 60);
 	directory_endpoint_t *endpoint;
 
 	for (int i = 0; i < ENDPOINTS; i++)
-		pace_unreachable(&endpoints[i]->pace, PIMENTO_SEC);
+		latency_eject_unreachable(&endpoints[i]->pace, PIMENTO_SEC);
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoints[i]->running = 1;
@@ -467,7 +484,7 @@
  * would send more, which the engine admits in order of arrival, behind
  * everything else: the caller waits and nothing more urgent can overtake.
  */
-START_TEST(what_peers_have_in_flight_counts)
+START_TEST(requests_in_flight_from_peers_count_as_load)
 {
 	placement_request_t request = stream(1000, 60);
 	directory_endpoint_t *endpoint;
@@ -478,7 +495,7 @@
 }
 END_TEST
 
-START_TEST(prompts_that_wait_to_be_read_make_an_endpoint_slower)
+START_TEST(pending_prompt_tokens_raise_endpoint_cost)
 {
 	placement_request_t request = stream(1000, 60);
 	directory_endpoint_t *endpoint;
@@ -495,7 +512,7 @@
  * places only, the others would stand empty while callers are turned away;
  * what can be on time overtakes them in line.
  */
-START_TEST(late_requests_may_take_every_place)
+START_TEST(overdue_requests_may_use_every_slot)
 {
 	placement_request_t request = stream(1000, 60);
 	directory_endpoint_t *endpoint;
@@ -503,19 +520,19 @@
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoints[i]->running = SLOTS;
 	for (int late = 0; late < 2; late++) {
-		request.late = late;
+		request.overdue = late;
 		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 	}
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoints[i]->running = SLOTS + 1;
 	for (int late = 0; late < 2; late++) {
-		request.late = late;
+		request.overdue = late;
 		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
 	}
 }
 END_TEST
 
-START_TEST(endpoints_that_leave_or_were_tried_get_nothing)
+START_TEST(leaving_and_tried_endpoints_are_excluded)
 {
 	placement_request_t request = stream(1000, 60);
 	pimento_id_t tried[] = { endpoints[0]->key, endpoints[1]->key };
@@ -532,23 +549,23 @@
 }
 END_TEST
 
-START_TEST(a_failing_endpoint_is_left_alone_for_a_while)
+START_TEST(failing_endpoint_is_ejected)
 {
 	placement_request_t request = stream(1000, 60);
 	directory_endpoint_t *endpoint;
 
 	for (int i = 0; i < 12; i++)
-		pace_failed(&endpoints[0]->pace, service, PIMENTO_SEC);
+		latency_add_failure(&endpoints[0]->pace, service, PIMENTO_SEC);
 	ck_assert_int_gt(endpoints[0]->pace.ejected_until, PIMENTO_SEC);
 	for (int i = 0; i < 20; i++) {
-		request.draw = (uint64_t)i * 977;
+		request.random_bits = (uint64_t)i * 977;
 		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 		ck_assert_ptr_ne(endpoint, endpoints[0]);
 	}
 }
 END_TEST
 
-START_TEST(a_new_process_under_an_old_id_starts_afresh)
+START_TEST(new_endpoint_process_clears_ejection)
 {
 	directory_record_t record = { .id = "e0",
 				      .service = SERVICE,
@@ -558,7 +575,7 @@
 				      .slots = SLOTS,
 				      .born = 5 };
 
-	pace_unreachable(&endpoints[0]->pace, PIMENTO_SEC);
+	latency_eject_unreachable(&endpoints[0]->pace, PIMENTO_SEC);
 	ck_assert_ptr_eq(directory_put(&directory, &record), endpoints[0]);
 	ck_assert_uint_eq(endpoints[0]->life, 1);
 	ck_assert_int_eq(endpoints[0]->pace.ejected_until, 0);
@@ -573,40 +590,34 @@
 	int failed;
 
 	tcase_add_checked_fixture(tests, setup, teardown);
-	tcase_add_test(tests, idle_endpoints_are_chosen_by_their_speed);
-	tcase_add_test(tests, a_host_stays_with_its_idle_connections);
+	tcase_add_test(tests, faster_idle_endpoints_are_preferred);
+	tcase_add_test(tests, endpoints_with_idle_connections_are_preferred);
+	tcase_add_test(tests, idle_connection_does_not_outweigh_slow_endpoint);
+	tcase_add_test(tests, long_answer_waits_for_endpoint_within_deadline);
 	tcase_add_test(tests,
-		       an_idle_connection_to_a_slow_endpoint_stays_unused);
-	tcase_add_test(tests,
-		       a_long_answer_waits_for_an_endpoint_that_can_finish);
-	tcase_add_test(tests, an_answer_too_long_for_all_is_tried_anyway);
-	tcase_add_test(tests,
-		       a_guess_beyond_all_reach_waits_for_a_fast_endpoint);
-	tcase_add_test(tests, long_guesses_are_taken_for_what_they_were_before);
-	tcase_add_loop_test(tests, long_answers_leave_slow_places_to_short_ones,
-			    0, sizeof(slow_places) / sizeof(slow_places[0]));
-	tcase_add_loop_test(tests,
-			    a_request_waits_for_an_endpoint_that_begins_in_time,
-			    0, sizeof(beginnings) / sizeof(beginnings[0]));
-	tcase_add_test(tests, a_place_is_taken_only_where_the_owners_word_lets);
-	tcase_add_test(tests,
-		       late_answers_find_out_whether_pauses_are_still_long);
-	tcase_add_test(tests,
-		       an_endpoint_that_is_asked_already_is_not_asked_again);
-	tcase_add_test(tests, a_request_waits_where_an_owner_answers);
-	tcase_add_loop_test(tests,
-			    an_engine_that_breaks_connections_is_left_alone, 0,
-			    sizeof(findings) / sizeof(findings[0]));
-	tcase_add_test(tests, a_dead_endpoint_is_no_overflow_for_full_ones);
-	tcase_add_test(tests,
-		       when_all_are_dead_one_request_at_a_time_finds_out);
-	tcase_add_test(tests, what_peers_have_in_flight_counts);
-	tcase_add_test(tests,
-		       prompts_that_wait_to_be_read_make_an_endpoint_slower);
-	tcase_add_test(tests, late_requests_may_take_every_place);
-	tcase_add_test(tests, endpoints_that_leave_or_were_tried_get_nothing);
-	tcase_add_test(tests, a_failing_endpoint_is_left_alone_for_a_while);
-	tcase_add_test(tests, a_new_process_under_an_old_id_starts_afresh);
+		       answer_too_long_for_every_endpoint_is_still_placed);
+	tcase_add_test(tests, overlong_length_hint_waits_for_fast_endpoint);
+	tcase_add_test(tests, length_hints_are_corrected_by_observed_lengths);
+	tcase_add_loop_test(tests, long_answers_do_not_occupy_slow_slots, 0,
+			    sizeof(slow_endpoint_cases) /
+				    sizeof(slow_endpoint_cases[0]));
+	tcase_add_loop_test(
+		tests, request_waits_for_endpoint_meeting_objective, 0,
+		sizeof(first_event_cases) / sizeof(first_event_cases[0]));
+	tcase_add_test(tests, grant_is_declined_if_owner_reports_slow_endpoint);
+	tcase_add_test(tests, overdue_requests_probe_endpoints_with_long_gaps);
+	tcase_add_test(tests, request_queues_once_per_endpoint);
+	tcase_add_test(tests, request_does_not_queue_at_unresponsive_owner);
+	tcase_add_loop_test(tests, consecutive_errors_eject_endpoint, 0,
+			    sizeof(outcomes) / sizeof(outcomes[0]));
+	tcase_add_test(tests, ejected_endpoint_gets_no_overflow_from_full_ones);
+	tcase_add_test(tests, all_ejected_endpoints_get_one_trial_request_each);
+	tcase_add_test(tests, requests_in_flight_from_peers_count_as_load);
+	tcase_add_test(tests, pending_prompt_tokens_raise_endpoint_cost);
+	tcase_add_test(tests, overdue_requests_may_use_every_slot);
+	tcase_add_test(tests, leaving_and_tried_endpoints_are_excluded);
+	tcase_add_test(tests, failing_endpoint_is_ejected);
+	tcase_add_test(tests, new_endpoint_process_clears_ejection);
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_plain_slots.c
+++ b/test/test_plain_slots.c
@@ -5,7 +5,7 @@
  */
 
 #include "grants.h"
-#include "pace.h"
+#include "latency.h"
 #include "placement.h"
 
 #include <check.h>
@@ -39,8 +39,8 @@
 
 typedef struct run {
 	grants_t grants;
-	pace_service_t service;
-	pace_t pace;
+	latency_service_t service;
+	latency_model_t pace;
 	uint64_t draws;
 	job_t jobs[REQUESTS_MAX];
 	uint32_t count;
@@ -73,9 +73,10 @@
 static pimento_usec_t expect(const run_t *run, bool owner)
 {
 	if (owner)
-		return (pimento_usec_t)pace_expect_most(&run->pace,
-							&run->service, 0);
-	return (pimento_usec_t)pace_expect(&run->pace, &run->service, 0);
+		return (pimento_usec_t)latency_p90_first_event(
+			&run->pace, &run->service, 0);
+	return (pimento_usec_t)latency_expected_first_event(&run->pace,
+							    &run->service, 0);
 }
 
 static void arrive(run_t *run, bool owner, pimento_usec_t now)
@@ -98,7 +99,7 @@
 
 	if (now - job->arrived <= GOAL_MS * MS)
 		run->in_time++;
-	pace_first(&run->pace, &run->service, now - job->sent, 0);
+	latency_add_first_event(&run->pace, &run->service, now - job->sent, 0);
 	grants_release(&run->grants, 0, 1, ticket);
 }
 
@@ -130,8 +131,8 @@
 	static run_t run;
 	const directory_service_t plain = { .plain = true };
 	const directory_endpoint_t endpoint = { .slots = SLOTS };
-	uint32_t places =
-		owner ? placement_places(&plain, &endpoint) : SLOTS + OWN_QUEUE;
+	uint32_t places = owner ? placement_in_flight_limit(&plain, &endpoint)
+				: SLOTS + OWN_QUEUE;
 	grants_ask_t given;
 	double share;
 
--- a/test/test_quota.c
+++ b/test/test_quota.c
@@ -14,7 +14,8 @@
 #define WINDOW (WINDOW_S * PIMENTO_SEC)
 #define NOW (1000 * PIMENTO_SEC)
 
-static const quota_limit_t rate = { .per_second = 200000, .burst = 200000 };
+static const quota_limit_t limit = { .tokens_per_second = 200000,
+				     .burst = 200000 };
 
 /* Tokens that are admitted at once, in small requests. */
 static double admit_all(quota_t *quota, pimento_usec_t now)
@@ -22,7 +23,7 @@
 	const double tokens = 1000;
 	double sum = 0;
 
-	while (sum < 1e6 && !quota_admit(quota, ACCOUNT, rate, 0, tokens, now))
+	while (sum < 1e6 && !quota_admit(quota, ACCOUNT, limit, 0, tokens, now))
 		sum += tokens;
 	return sum;
 }
@@ -30,11 +31,11 @@
 static const struct {
 	const char *name;
 	bool first_start;
-	double told; /* level reported before; 0 none */
-	double told_s_ago;
+	double reported_level; /* level reported before; 0 none */
+	double reported_s_ago;
 	double up_s; /* how long the host is up and hears reports */
-	double least; /* admitted at once */
-	double most;
+	double admitted_min; /* admitted at once */
+	double admitted_max;
 } takeovers[] = {
 	{ "the first start", true, 0, 0, 0, 160000, 260000 },
 	{ "nothing is known", false, 0, 0, 0, 20000, 200000 },
@@ -47,92 +48,102 @@
  * Guards against a new owner that gives a limit out again, and against one
  * that refuses an account nobody used.
  */
-START_TEST(a_new_owner_goes_on_from_what_is_known)
+START_TEST(new_owner_continues_from_reported_level)
 {
 	quota_t quota;
-	double given;
+	double admitted;
 
 	quota_init(&quota, WINDOW, takeovers[_i].first_start);
-	quota_state(&quota, (uint32_t)ACCOUNT, 1, rate);
+	quota_update_limit(&quota, (uint32_t)ACCOUNT, 1, limit);
 	if (takeovers[_i].up_s > 0)
-		quota_told(&quota, 5, 1,
-			   NOW - (pimento_usec_t)(takeovers[_i].up_s * 1e6));
-	if (takeovers[_i].told > 0)
-		quota_told(
-			&quota, (uint32_t)ACCOUNT, takeovers[_i].told,
-			NOW - (pimento_usec_t)(takeovers[_i].told_s_ago * 1e6));
-	given = admit_all(&quota, NOW);
-	ck_assert_msg(given >= takeovers[_i].least &&
-			      given <= takeovers[_i].most,
-		      "%s: %.0f", takeovers[_i].name, given);
+		quota_apply_report(
+			&quota, 5, 1,
+			NOW - (pimento_usec_t)(takeovers[_i].up_s * 1e6));
+	if (takeovers[_i].reported_level > 0)
+		quota_apply_report(
+			&quota, (uint32_t)ACCOUNT, takeovers[_i].reported_level,
+			NOW - (pimento_usec_t)(takeovers[_i].reported_s_ago *
+					       1e6));
+	admitted = admit_all(&quota, NOW);
+	ck_assert_msg(admitted >= takeovers[_i].admitted_min &&
+			      admitted <= takeovers[_i].admitted_max,
+		      "%s: %.0f", takeovers[_i].name, admitted);
 	quota_finish(&quota);
 }
 END_TEST
 
 /* Guards against reports that travel round and grow younger or older. */
-START_TEST(a_report_is_passed_on_with_its_age)
+START_TEST(forwarded_report_keeps_its_age)
 {
 	quota_report_t reports[4];
 	quota_t quota;
 
 	quota_init(&quota, WINDOW, true);
-	quota_told(&quota, 5, 1000, NOW - PIMENTO_SEC);
-	quota_told(&quota, 5, 9000, NOW - 2 * PIMENTO_SEC); /* overtaken */
-	ck_assert_uint_eq(quota_reports(&quota, reports, 4, NOW), 1);
+	quota_apply_report(&quota, 5, 1000, NOW - PIMENTO_SEC);
+	quota_apply_report(&quota, 5, 9000,
+			   NOW - 2 * PIMENTO_SEC); /* overtaken */
+	ck_assert_uint_eq(quota_collect_reports(&quota, reports, 4, NOW), 1);
 	ck_assert_double_eq(reports[0].level, 1000);
 	ck_assert_int_eq(reports[0].age, PIMENTO_SEC);
-	ck_assert_uint_eq(
-		quota_reports(&quota, reports, 4, NOW + 3 * PIMENTO_SEC), 0);
+	ck_assert_uint_eq(quota_collect_reports(&quota, reports, 4,
+						NOW + 3 * PIMENTO_SEC),
+			  0);
 	quota_finish(&quota);
 }
 END_TEST
 
 /* Guards against a host that has an older configuration and raises a limit. */
-START_TEST(the_limit_of_the_newest_version_holds)
+START_TEST(older_config_version_does_not_change_limit)
 {
 	const quota_limit_t lower = { 1000, 1000 };
 	quota_t quota;
 
 	quota_init(&quota, WINDOW, true);
-	ck_assert_double_eq(quota_state(&quota, 5, 7, lower).per_second, 1000);
-	ck_assert_double_eq(quota_state(&quota, 5, 6, rate).per_second, 1000);
-	ck_assert_double_eq(quota_state(&quota, 5, 8, rate).per_second, 200000);
+	ck_assert_double_eq(
+		quota_update_limit(&quota, 5, 7, lower).tokens_per_second,
+		1000);
+	ck_assert_double_eq(
+		quota_update_limit(&quota, 5, 6, limit).tokens_per_second,
+		1000);
+	ck_assert_double_eq(
+		quota_update_limit(&quota, 5, 8, limit).tokens_per_second,
+		200000);
 	quota_finish(&quota);
 }
 END_TEST
 
-START_TEST(a_refund_gives_the_room_back)
+START_TEST(refund_restores_capacity)
 {
 	quota_t quota;
 
 	quota_init(&quota, WINDOW, true);
 	ck_assert_int_eq(
-		quota_admit(&quota, ACCOUNT, rate, 0, 200000, PIMENTO_SEC), 0);
+		quota_admit(&quota, ACCOUNT, limit, 0, 200000, PIMENTO_SEC), 0);
 	ck_assert_int_eq(
-		quota_admit(&quota, ACCOUNT, rate, 0, 200000, PIMENTO_SEC),
+		quota_admit(&quota, ACCOUNT, limit, 0, 200000, PIMENTO_SEC),
 		PIMENTO_EFULL);
-	ck_assert_int_gt(quota_retry_after(&quota, ACCOUNT, rate, 200000), 0);
+	ck_assert_int_gt(quota_retry_after(&quota, ACCOUNT, limit, 200000), 0);
 	quota_refund(&quota, ACCOUNT, 200000);
 	ck_assert_int_eq(
-		quota_admit(&quota, ACCOUNT, rate, 0, 200000, PIMENTO_SEC), 0);
+		quota_admit(&quota, ACCOUNT, limit, 0, 200000, PIMENTO_SEC), 0);
 	quota_finish(&quota);
 }
 END_TEST
 
-START_TEST(one_request_beyond_the_burst_waits_for_an_empty_bucket)
+START_TEST(request_above_burst_needs_an_empty_bucket)
 {
 	quota_t quota;
 
 	quota_init(&quota, WINDOW, true);
 	ck_assert_int_eq(
-		quota_admit(&quota, ACCOUNT, rate, 0, 900000, PIMENTO_SEC), 0);
-	ck_assert_int_eq(quota_admit(&quota, ACCOUNT, rate, 0, 1, PIMENTO_SEC),
+		quota_admit(&quota, ACCOUNT, limit, 0, 900000, PIMENTO_SEC), 0);
+	ck_assert_int_eq(quota_admit(&quota, ACCOUNT, limit, 0, 1, PIMENTO_SEC),
 			 PIMENTO_EFULL);
 	quota_finish(&quota);
 }
 END_TEST
 
-START_TEST(without_a_rate_there_is_no_limit)
+START_TEST(zero_rate_means_unlimited)
 {
 	const quota_limit_t none = { 0, 0 };
 	quota_t quota;
@@ -153,14 +164,13 @@
 	SRunner *runner;
 	int failed;
 
-	tcase_add_loop_test(tests, a_new_owner_goes_on_from_what_is_known, 0,
+	tcase_add_loop_test(tests, new_owner_continues_from_reported_level, 0,
 			    sizeof(takeovers) / sizeof(takeovers[0]));
-	tcase_add_test(tests, a_report_is_passed_on_with_its_age);
-	tcase_add_test(tests, the_limit_of_the_newest_version_holds);
-	tcase_add_test(tests, a_refund_gives_the_room_back);
-	tcase_add_test(tests,
-		       one_request_beyond_the_burst_waits_for_an_empty_bucket);
-	tcase_add_test(tests, without_a_rate_there_is_no_limit);
+	tcase_add_test(tests, forwarded_report_keeps_its_age);
+	tcase_add_test(tests, older_config_version_does_not_change_limit);
+	tcase_add_test(tests, refund_restores_capacity);
+	tcase_add_test(tests, request_above_burst_needs_an_empty_bucket);
+	tcase_add_test(tests, zero_rate_means_unlimited);
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_quota_share.c
+++ b/test/test_quota_share.c
@@ -12,7 +12,7 @@
  * sizes. On average the share is admitted; a large request takes what the next
  * seconds would have brought, and is not shut out for being large.
  */
-START_TEST(what_flows_in_is_what_is_spent)
+START_TEST(spending_averages_the_refill_rate)
 {
 	quota_share_t share = { 0 };
 	double spent = 0;
@@ -22,8 +22,8 @@
 		pimento_usec_t now = step * STEP_MS * PIMENTO_MSEC;
 		double tokens = step % 51 ? 100 : 6000;
 
-		quota_share_ask(&share, 0, tokens, now);
-		quota_share_fill(&share, 5000, now);
+		quota_share_add_demand(&share, 0, tokens, now);
+		quota_share_refill(&share, 5000, now);
 		if (!quota_share_spend(&share, 0, tokens, now))
 			continue;
 		spent += tokens;
@@ -34,26 +34,26 @@
 }
 END_TEST
 
-START_TEST(demand_is_known_and_fades)
+START_TEST(demand_estimate_decays)
 {
 	quota_share_t share = { 0 };
 	pimento_usec_t now = 0;
 
 	for (int i = 0; i < 2000; i++) {
 		now += STEP_MS * PIMENTO_MSEC;
-		quota_share_ask(&share, 0, 50, now); /* 5,000 a second */
+		quota_share_add_demand(&share, 0, 50, now); /* 5,000 a second */
 	}
-	ck_assert_double_eq_tol(quota_share_asked(&share, now), 5000, 100);
-	ck_assert_double_le(quota_share_asked(&share, now + 30 * PIMENTO_SEC),
+	ck_assert_double_eq_tol(quota_share_demand(&share, now), 5000, 100);
+	ck_assert_double_le(quota_share_demand(&share, now + 30 * PIMENTO_SEC),
 			    1);
 }
 END_TEST
 
-START_TEST(a_refund_can_be_spent_again)
+START_TEST(refunded_credit_can_be_spent)
 {
 	quota_share_t share = { 0 };
 
-	quota_share_fill(&share, 1000, PIMENTO_SEC);
+	quota_share_refill(&share, 1000, PIMENTO_SEC);
 	ck_assert(quota_share_spend(&share, 0, 2000, PIMENTO_SEC));
 	ck_assert(!quota_share_spend(&share, 0, 1, PIMENTO_SEC));
 	quota_share_refund(&share, 2000);
@@ -68,9 +68,9 @@
 	SRunner *runner;
 	int failed;
 
-	tcase_add_test(tests, what_flows_in_is_what_is_spent);
-	tcase_add_test(tests, demand_is_known_and_fades);
-	tcase_add_test(tests, a_refund_can_be_spent_again);
+	tcase_add_test(tests, spending_averages_the_refill_rate);
+	tcase_add_test(tests, demand_estimate_decays);
+	tcase_add_test(tests, refunded_credit_can_be_spent);
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_retry_budget.c
+++ b/test/test_retry_budget.c
@@ -7,29 +7,30 @@
 
 enum { HOSTS = 8, RUN_S = 40, WINDOW_S = 10, STEP_MS = 10 };
 
-static const retry_budget_terms_t terms = { .window = WINDOW_S * PIMENTO_SEC,
-					    .ratio = 0.2,
-					    .slack = 56 };
+static const retry_budget_limits_t limits = { .window = WINDOW_S * PIMENTO_SEC,
+					      .ratio = 0.2,
+					      .slack = 56 };
 
 static uint32_t requests[RUN_S * 1000 / STEP_MS];
-static uint32_t repeats[RUN_S * 1000 / STEP_MS];
+static uint32_t retries[RUN_S * 1000 / STEP_MS];
 
 static void check_windows(void)
 {
 	const int steps = WINDOW_S * 1000 / STEP_MS;
-	double asked = 0;
+	double requests_in_window = 0;
 	double repeated = 0;
 
 	for (int i = 0; i < RUN_S * 1000 / STEP_MS; i++) {
-		asked += requests[i];
-		repeated += repeats[i];
+		requests_in_window += requests[i];
+		repeated += retries[i];
 		if (i >= steps) {
-			asked -= requests[i - steps];
-			repeated -= repeats[i - steps];
+			requests_in_window -= requests[i - steps];
+			repeated -= retries[i - steps];
 		}
-		ck_assert_msg(repeated <= terms.ratio * asked + terms.slack,
+		ck_assert_msg(repeated <= limits.ratio * requests_in_window +
+						  limits.slack,
 			      "step %d: %.0f repeats of %.0f", i, repeated,
-			      asked);
+			      requests_in_window);
 	}
 }
 
@@ -38,7 +39,7 @@
  * middle all hosts are killed and forget what they have repeated. Endpoints
  * that are in trouble would get half as much again as without it.
  */
-START_TEST(a_storm_of_failures_stays_within_the_bound)
+START_TEST(retries_stay_within_budget_when_all_requests_fail)
 {
 	retry_budget_t budgets[HOSTS] = { 0 };
 	uint32_t all = 0;
@@ -50,25 +51,25 @@
 		if (i == RUN_S * 1000 / STEP_MS / 2)
 			for (int j = 0; j < HOSTS; j++)
 				budgets[j] = (retry_budget_t){ 0 };
-		retry_budget_request(budget, &terms, now);
+		retry_budget_add_request(budget, &limits, now);
 		requests[i] = 1;
-		repeats[i] = retry_budget_take(budget, &terms, HOSTS, now);
-		all += repeats[i];
+		retries[i] = retry_budget_take(budget, &limits, HOSTS, now);
+		all += retries[i];
 	}
 	check_windows();
 	ck_assert_uint_gt(all, 400); /* a tenth at least is repeated */
 }
 END_TEST
 
-START_TEST(without_requests_only_the_slack_is_left)
+START_TEST(idle_budget_is_limited_to_slack)
 {
 	retry_budget_t budget = { 0 };
 	uint32_t taken = 0;
 
-	while (retry_budget_take(&budget, &terms, HOSTS, PIMENTO_SEC))
+	while (retry_budget_take(&budget, &limits, HOSTS, PIMENTO_SEC))
 		taken++;
 	ck_assert_uint_ge(taken, 1);
-	ck_assert_uint_le(taken * HOSTS, (uint32_t)terms.slack);
+	ck_assert_uint_le(taken * HOSTS, (uint32_t)limits.slack);
 }
 END_TEST
 
@@ -79,8 +80,9 @@
 	SRunner *runner;
 	int failed;
 
-	tcase_add_test(tests, a_storm_of_failures_stays_within_the_bound);
-	tcase_add_test(tests, without_requests_only_the_slack_is_left);
+	tcase_add_test(tests,
+		       retries_stay_within_budget_when_all_requests_fail);
+	tcase_add_test(tests, idle_budget_is_limited_to_slack);
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_slots.c
+++ b/test/test_slots.c
@@ -98,7 +98,8 @@
 		for (int i = 0; i < ASKS; i++)
 			ask(ticket++, now);
 	}
-	ck_assert_uint_eq(slots.granted, placement_places(service, endpoint));
+	ck_assert_uint_eq(slots.granted,
+			  placement_in_flight_limit(service, endpoint));
 }
 END_TEST
 
@@ -114,21 +115,23 @@
 
 	for (uint64_t ticket = 1; ticket <= ASKS; ticket++)
 		ask(ticket, NOW);
-	ck_assert_uint_eq(slots.granted, placement_places(service, endpoint));
+	ck_assert_uint_eq(slots.granted,
+			  placement_in_flight_limit(service, endpoint));
 	packet.as.slot_release = (packet_slot_release_t){
 		.endpoint = (uint32_t)endpoint->key,
 		.address = ASKER,
 		.gap_us = 160000,
-		.outcome = PACE_ANSWERS,
+		.outcome = LATENCY_OUTCOME_ANSWERED,
 	};
 	slots_take(&slots, &packet, NOW);
-	ck_assert_double_eq(endpoint->pace.gap, 160000);
-	ck_assert_uint_eq(slots.granted, placement_places(service, endpoint));
+	ck_assert_double_eq(endpoint->pace.event_gap_us, 160000);
+	ck_assert_uint_eq(slots.granted,
+			  placement_in_flight_limit(service, endpoint));
 }
 END_TEST
 
 /* What hosts tell of a request that ended at an endpoint. */
-static void hear_end(const directory_endpoint_t *of, pace_finding_t finding)
+static void hear_end(const directory_endpoint_t *of, latency_outcome_t finding)
 {
 	packet_t packet = { .kind = PACKET_SLOT_RELEASE };
 
@@ -147,7 +150,8 @@
 START_TEST(failures_of_a_whole_service_single_nobody_out)
 {
 	for (int i = 0; i < 200; i++) {
-		hear_end(endpoint, i % 5 ? PACE_FAILS : PACE_ANSWERS);
+		hear_end(endpoint, i % 5 ? LATENCY_OUTCOME_FAILED
+					 : LATENCY_OUTCOME_ANSWERED);
 		ck_assert(i < 100 || endpoint->pace.ejected_until <= NOW);
 		if (i == 99)
 			endpoint->pace.ejected_until = 0;
@@ -171,9 +175,10 @@
 
 	ck_assert_ptr_nonnull(sound);
 	for (int i = 0; endpoint->pace.ejected_until <= NOW; i++) {
-		hear_end(sound, PACE_ANSWERS);
-		hear_end(sound, PACE_ANSWERS);
-		hear_end(endpoint, i % 2 ? PACE_ANSWERS : PACE_BREAKS);
+		hear_end(sound, LATENCY_OUTCOME_ANSWERED);
+		hear_end(sound, LATENCY_OUTCOME_ANSWERED);
+		hear_end(endpoint, i % 2 ? LATENCY_OUTCOME_ANSWERED
+					 : LATENCY_OUTCOME_RESET);
 		broken += !(i % 2);
 		ck_assert_int_le(broken, 8);
 	}
@@ -188,11 +193,13 @@
 START_TEST(the_only_endpoint_goes_on_when_it_fails)
 {
 	for (int i = 0; i < 12; i++)
-		hear_end(endpoint, i % 3 ? PACE_FAILS : PACE_ANSWERS);
+		hear_end(endpoint, i % 3 ? LATENCY_OUTCOME_FAILED
+					 : LATENCY_OUTCOME_ANSWERED);
 	endpoint->pace.ejected_until = NOW + PIMENTO_SEC;
 	for (uint64_t ticket = 1; ticket <= ASKS; ticket++)
 		ask(ticket, NOW);
-	ck_assert_uint_eq(slots.granted, placement_places(service, endpoint));
+	ck_assert_uint_eq(slots.granted,
+			  placement_in_flight_limit(service, endpoint));
 }
 END_TEST
 
--- a/test/test_wait_queue.c
+++ b/test/test_wait_queue.c
@@ -7,38 +7,39 @@
 
 #define MS PIMENTO_MSEC
 
-static wait_queue_t line;
+static wait_queue_t queue;
 
 static void setup(void)
 {
-	line = (wait_queue_t){ 0 };
+	queue = (wait_queue_t){ 0 };
 }
 
 static wait_queue_item_t item(uint64_t rank, pimento_usec_t arrived,
-			      pimento_usec_t late_at, pimento_usec_t give_up_at)
+			      pimento_usec_t overdue_at,
+			      pimento_usec_t expires_at)
 {
 	return (wait_queue_item_t){ .rank = rank,
-				    .since = arrived,
-				    .order_at = arrived,
-				    .late_at = late_at,
-				    .give_up_at = give_up_at };
+				    .first_attempt_at = arrived,
+				    .order_key = arrived,
+				    .overdue_at = overdue_at,
+				    .expires_at = expires_at };
 }
 
-START_TEST(the_more_urgent_goes_first_then_the_earlier)
+START_TEST(requests_are_ordered_by_urgency_then_age)
 {
 	wait_queue_item_t a = item(1, 10 * MS, 900 * MS, PIMENTO_SEC);
 	wait_queue_item_t b = item(0, 30 * MS, 900 * MS, PIMENTO_SEC);
 	wait_queue_item_t c = item(0, 20 * MS, 900 * MS, PIMENTO_SEC);
 
-	wait_queue_push(&line, &a);
-	wait_queue_push(&line, &b);
-	wait_queue_push(&line, &c);
-	ck_assert_ptr_eq(line.first, &c);
+	wait_queue_push(&queue, &a);
+	wait_queue_push(&queue, &b);
+	wait_queue_push(&queue, &c);
+	ck_assert_ptr_eq(queue.first, &c);
 	ck_assert_ptr_eq(c.next, &b);
 	ck_assert_ptr_eq(b.next, &a);
-	wait_queue_remove(&line, &b);
+	wait_queue_remove(&queue, &b);
 	ck_assert_ptr_eq(c.next, &a);
-	ck_assert_uint_eq(line.count, 2);
+	ck_assert_uint_eq(queue.count, 2);
 }
 END_TEST
 
@@ -47,48 +48,48 @@
  * Were it served in its turn, the twenty that came just after it would be late or
  * turned away; were it always last, it would never be served.
  */
-START_TEST(a_long_answer_lets_short_ones_go_first_for_a_while)
+START_TEST(long_answer_yields_to_short_ones_without_starving)
 {
-	wait_queue_terms_t terms = { .goal = 300 * MS,
-				     .end = 10 * PIMENTO_SEC,
-				     .hold = 4 * PIMENTO_SEC };
+	wait_queue_timing_t timing = { .objective = 300 * MS,
+				       .deadline = 10 * PIMENTO_SEC,
+				       .expected_slot_time = 4 * PIMENTO_SEC };
 	wait_queue_item_t longer = { 0 };
 	wait_queue_item_t soon = { 0 };
 	wait_queue_item_t later = { 0 };
 
-	wait_queue_set_times(&longer, &terms);
-	terms.hold = 200 * MS;
-	terms.arrived = 250 * MS;
-	wait_queue_set_times(&soon, &terms);
-	terms.arrived = 4 * PIMENTO_SEC;
-	wait_queue_set_times(&later, &terms);
-	wait_queue_push(&line, &longer);
-	wait_queue_push(&line, &soon);
-	wait_queue_push(&line, &later);
-	ck_assert_ptr_eq(line.first, &soon);
+	wait_queue_set_times(&longer, &timing);
+	timing.expected_slot_time = 200 * MS;
+	timing.arrived = 250 * MS;
+	wait_queue_set_times(&soon, &timing);
+	timing.arrived = 4 * PIMENTO_SEC;
+	wait_queue_set_times(&later, &timing);
+	wait_queue_push(&queue, &longer);
+	wait_queue_push(&queue, &soon);
+	wait_queue_push(&queue, &later);
+	ck_assert_ptr_eq(queue.first, &soon);
 	ck_assert_ptr_eq(soon.next, &longer);
 	ck_assert_ptr_eq(longer.next, &later);
 }
 END_TEST
 
 /*
- * A burst has filled the line. Served in order of arrival, everyone would be
+ * A burst has filled the queue. Served in order of arrival, everyone would be
  * answered just too late; callers see every answer miss its goal although
  * half of them could have been on time.
  */
-START_TEST(what_is_late_goes_behind_what_can_be_on_time)
+START_TEST(overdue_requests_go_behind_timely_ones)
 {
 	wait_queue_item_t late = item(0, 0, 300 * MS, 900 * MS);
 	wait_queue_item_t fresh = item(2, 350 * MS, 650 * MS, 900 * MS);
 
-	wait_queue_push(&line, &late);
-	wait_queue_push(&line, &fresh);
-	ck_assert_ptr_null(wait_queue_expired(&line, 290 * MS));
-	ck_assert_ptr_eq(line.first, &late);
-	ck_assert_ptr_null(wait_queue_expired(&line, 400 * MS));
-	ck_assert_ptr_eq(line.first, &fresh);
-	ck_assert(late.late);
-	ck_assert_ptr_eq(wait_queue_expired(&line, 901 * MS), &fresh);
+	wait_queue_push(&queue, &late);
+	wait_queue_push(&queue, &fresh);
+	ck_assert_ptr_null(wait_queue_next_expired(&queue, 290 * MS));
+	ck_assert_ptr_eq(queue.first, &late);
+	ck_assert_ptr_null(wait_queue_next_expired(&queue, 400 * MS));
+	ck_assert_ptr_eq(queue.first, &fresh);
+	ck_assert(late.overdue);
+	ck_assert_ptr_eq(wait_queue_next_expired(&queue, 901 * MS), &fresh);
 }
 END_TEST
 
@@ -98,34 +99,35 @@
  * to count, the answer would break off at once, and its caller, who would have
  * waited for the rest, has half an answer and starts anew.
  */
-START_TEST(an_answer_that_lost_its_engine_waits_for_another)
+START_TEST(resumed_answer_outlives_first_wait_limit)
 {
-	wait_queue_terms_t terms = { .goal = 300 * MS,
-				     .gap_goal = 300 * MS,
-				     .end = 10 * PIMENTO_SEC,
-				     .hold = 4 * PIMENTO_SEC };
-	wait_queue_item_t begun = { 0 };
+	wait_queue_timing_t timing = { .objective = 300 * MS,
+				       .gap_objective = 300 * MS,
+				       .deadline = 10 * PIMENTO_SEC,
+				       .expected_slot_time = 4 * PIMENTO_SEC };
+	wait_queue_item_t resumed = { 0 };
 	wait_queue_item_t fresh =
 		item(0, 5000 * MS, 5300 * MS, 7 * PIMENTO_SEC);
 
-	wait_queue_set_times(&begun, &terms);
-	begun.late = true;
-	wait_queue_set_begun(&begun, &terms, 5 * PIMENTO_SEC);
-	wait_queue_push(&line, &fresh);
-	wait_queue_push(&line, &begun);
-	ck_assert_ptr_eq(line.first, &begun);
-	ck_assert_ptr_null(wait_queue_expired(&line, 5200 * MS));
-	ck_assert(!begun.late);
-	ck_assert_ptr_eq(wait_queue_expired(&line, 7 * PIMENTO_SEC), &begun);
+	wait_queue_set_times(&resumed, &timing);
+	resumed.overdue = true;
+	wait_queue_set_resumed(&resumed, &timing, 5 * PIMENTO_SEC);
+	wait_queue_push(&queue, &fresh);
+	wait_queue_push(&queue, &resumed);
+	ck_assert_ptr_eq(queue.first, &resumed);
+	ck_assert_ptr_null(wait_queue_next_expired(&queue, 5200 * MS));
+	ck_assert(!resumed.overdue);
+	ck_assert_ptr_eq(wait_queue_next_expired(&queue, 7 * PIMENTO_SEC),
+			 &resumed);
 }
 END_TEST
 
 /* What a request brings, and when it is late and turned away. */
 static const struct {
 	const char *what;
-	wait_queue_terms_t terms; /* in milliseconds */
-	int64_t late_at;
-	int64_t give_up_at;
+	wait_queue_timing_t timing; /* in milliseconds */
+	int64_t overdue_at;
+	int64_t expires_at;
 } times[] = {
 	{ "a stream with much time",
 	  { 1000, 0, 600, 100, 0, 300, 16000 },
@@ -146,35 +148,36 @@
 	  1050 },
 };
 
-START_TEST(waits_end_while_the_caller_still_cares)
+START_TEST(waits_end_before_client_timeout)
 {
-	wait_queue_terms_t terms = times[_i].terms;
+	wait_queue_timing_t timing = times[_i].timing;
 	wait_queue_item_t it = { 0 };
 
-	terms.arrived *= MS;
-	terms.spent *= MS;
-	terms.goal *= MS;
-	terms.expect *= MS;
-	terms.gap_goal *= MS;
-	terms.end *= MS;
-	wait_queue_set_times(&it, &terms);
-	ck_assert_msg(it.late_at / MS == times[_i].late_at, "%s: late %lld",
-		      times[_i].what, (long long)(it.late_at / MS));
-	ck_assert_msg(it.give_up_at / MS == times[_i].give_up_at,
+	timing.arrived *= MS;
+	timing.spent_before *= MS;
+	timing.objective *= MS;
+	timing.expected_latency *= MS;
+	timing.gap_objective *= MS;
+	timing.deadline *= MS;
+	wait_queue_set_times(&it, &timing);
+	ck_assert_msg(it.overdue_at / MS == times[_i].overdue_at,
+		      "%s: late %lld", times[_i].what,
+		      (long long)(it.overdue_at / MS));
+	ck_assert_msg(it.expires_at / MS == times[_i].expires_at,
 		      "%s: given up %lld", times[_i].what,
-		      (long long)(it.give_up_at / MS));
-	ck_assert(it.late == (it.late_at <= terms.arrived));
+		      (long long)(it.expires_at / MS));
+	ck_assert(it.overdue == (it.overdue_at <= timing.arrived));
 }
 END_TEST
 
-START_TEST(callers_that_are_turned_away_come_back_spread)
+START_TEST(retry_after_times_are_spread)
 {
 	pimento_usec_t least = PIMENTO_NEVER;
 	pimento_usec_t most = 0;
 
-	for (uint64_t draw = 0; draw < 1000; draw++) {
+	for (uint64_t random_bits = 0; random_bits < 1000; random_bits++) {
 		pimento_usec_t wait =
-			wait_queue_retry_after(40, 19, draw * 7919000);
+			wait_queue_retry_after(40, 19, random_bits * 7919000);
 
 		least = wait < least ? wait : least;
 		most = wait > most ? wait : most;
@@ -193,14 +196,14 @@
 	int failed;
 
 	tcase_add_checked_fixture(tests, setup, NULL);
-	tcase_add_test(tests, the_more_urgent_goes_first_then_the_earlier);
+	tcase_add_test(tests, requests_are_ordered_by_urgency_then_age);
 	tcase_add_test(tests,
-		       a_long_answer_lets_short_ones_go_first_for_a_while);
-	tcase_add_test(tests, an_answer_that_lost_its_engine_waits_for_another);
-	tcase_add_test(tests, what_is_late_goes_behind_what_can_be_on_time);
-	tcase_add_loop_test(tests, waits_end_while_the_caller_still_cares, 0,
+		       long_answer_yields_to_short_ones_without_starving);
+	tcase_add_test(tests, resumed_answer_outlives_first_wait_limit);
+	tcase_add_test(tests, overdue_requests_go_behind_timely_ones);
+	tcase_add_loop_test(tests, waits_end_before_client_timeout, 0,
 			    sizeof(times) / sizeof(times[0]));
-	tcase_add_test(tests, callers_that_are_turned_away_come_back_spread);
+	tcase_add_test(tests, retry_after_times_are_spread);
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
