--- a/bench/load.c
+++ b/bench/load.c
@@ -530,7 +530,7 @@
 		}
 }
 
-static uint64_t read_number(const char *name, const char *text, uint64_t most)
+static uint64_t read_varint(const char *name, const char *text, uint64_t most)
 {
 	char *end;
 	uint64_t number = strtoull(text, &end, 10);
@@ -609,21 +609,21 @@
 		options->mix = value;
 		break;
 	case OPT_REQUESTS:
-		options->requests = read_number("requests", value, 100000000);
+		options->requests = read_varint("requests", value, 100000000);
 		break;
 	case OPT_SECONDS:
 		options->seconds =
-			(uint32_t)read_number("seconds", value, 86400);
+			(uint32_t)read_varint("seconds", value, 86400);
 		break;
 	case OPT_CONCURRENCY:
-		options->concurrency = (uint32_t)read_number(
+		options->concurrency = (uint32_t)read_varint(
 			"concurrency", value, THREADS_MAX);
 		break;
 	case OPT_KEY:
 		options->api_key = value;
 		break;
 	case OPT_SEED:
-		options->seed = read_number("seed", value, UINT64_MAX);
+		options->seed = read_varint("seed", value, UINT64_MAX);
 		break;
 	case OPT_DIRECT:
 		options->direct = true;
--- a/bench/load_mix.c
+++ b/bench/load_mix.c
@@ -63,7 +63,7 @@
 	snprintf(name, size, "%s", text ? text : "");
 }
 
-static uint32_t read_number(const json_t *entry, const char *key,
+static uint32_t read_varint(const json_t *entry, const char *key,
 			    uint32_t otherwise)
 {
 	const json_t *value = json_object_get(entry, key);
@@ -91,8 +91,8 @@
 	read_name(entry, "model", kind->model, sizeof(kind->model));
 	read_name(entry, "method", kind->method, sizeof(kind->method));
 	read_name(entry, "path", kind->path, sizeof(kind->path));
-	kind->weight = read_number(entry, "weight", 1);
-	kind->patience_ms = read_number(entry, "patience_ms", 10000);
+	kind->weight = read_varint(entry, "weight", 1);
+	kind->patience_ms = read_varint(entry, "patience_ms", 10000);
 	read_range(entry, "prompt_tokens", kind->prompt_tokens);
 	read_range(entry, "answer_tokens", kind->answer_tokens);
 	kind->keyed = json_is_true(json_object_get(entry, "keyed"));
--- a/bench/slope_table.c
+++ b/bench/slope_table.c
@@ -278,7 +278,7 @@
 	size_t length = 0;
 	double time = slope_cpu();
 
-	delta_make(base, strlen(base), text, strlen(text), &delta, &length);
+	delta_create(base, strlen(base), text, strlen(text), &delta, &length);
 	time = slope_cpu() - time;
 	slope_row("tables", "difference of one line, bytes", strlen(text),
 		  (double)length, "bytes");
@@ -548,8 +548,8 @@
 		char *delta;
 		size_t length;
 
-		if (!delta_make(base, strlen(base), text, strlen(text), &delta,
-				&length))
+		if (!delta_create(base, strlen(base), text, strlen(text),
+				  &delta, &length))
 			free(delta);
 	}
 	free(base);
--- a/daemon/ctl_order.c
+++ b/daemon/ctl_order.c
@@ -64,7 +64,7 @@
 	return CTL_USAGE;
 }
 
-static bool read_number(const char *text, unsigned long *number)
+static bool read_varint(const char *text, unsigned long *number)
 {
 	char *end;
 
@@ -142,7 +142,7 @@
 		order->contract = optarg;
 		return true;
 	case 'd':
-		return read_number(optarg, &order->deadline_ms);
+		return read_varint(optarg, &order->deadline_ms);
 	case 'i':
 		return set_key(order, optarg);
 	case 'I':
@@ -152,7 +152,7 @@
 		order->model = optarg;
 		return true;
 	case 't':
-		return read_number(optarg, &order->max_tokens);
+		return read_varint(optarg, &order->max_tokens);
 	case 's':
 		order->stream = true;
 		return true;
--- a/daemon/pimentoedge.c
+++ b/daemon/pimentoedge.c
@@ -68,7 +68,7 @@
 	const char *path; /* of the settings */
 	struct timespec settings_time;
 	edge_settings_t settings;
-	directory_t directory;
+	registry_t registry;
 	roster_t roster;
 	feed_t feed;
 	slots_t slots;
@@ -199,7 +199,7 @@
 		.now = sys_now(),
 	};
 
-	for (int kind = 0; kind < MIRROR_KIND_COUNT; kind++) {
+	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++) {
 		sources.store_calls += edge->feed.stores[kind].calls;
 		sources.store_errors += edge->feed.stores[kind].errors;
 	}
@@ -208,7 +208,7 @@
 
 static bool is_ready(const edge_t *edge)
 {
-	return !edge->stopping && edge->directory.count &&
+	return !edge->stopping && edge->registry.count &&
 	       gateway_able(&edge->gateway, sys_now());
 }
 
@@ -238,8 +238,8 @@
 
 static void watch_ability(edge_t *edge, pimento_usec_t now)
 {
-	const mirror_t *configuration =
-		&edge->feed.mirrors[MIRROR_CONFIGURATION];
+	const replica_t *configuration =
+		&edge->feed.mirrors[REPLICA_CONFIGURATION];
 	bool able = is_ready(edge);
 
 	if (able == edge->able)
@@ -248,8 +248,8 @@
 	trail(TRAIL_STATE, "edge", able ? "ready" : "not_ready",
 	      "config=%llu copy_age_ms=%lld endpoints=%u stopping=%d",
 	      (unsigned long long)edge->feed.version,
-	      (long long)(mirror_age(configuration, now) / PIMENTO_MSEC),
-	      edge->directory.count, edge->stopping != 0);
+	      (long long)(replica_age(configuration, now) / PIMENTO_MSEC),
+	      edge->registry.count, edge->stopping != 0);
 }
 
 /* Time passes. */
@@ -281,7 +281,7 @@
 
 static void log_reading(const edge_t *edge, const store_t *store, bool active)
 {
-	pimento_usec_t age = mirror_age(store->mirror, sys_now());
+	pimento_usec_t age = replica_age(store->replica, sys_now());
 
 	if (active == store->active)
 		return;
@@ -303,9 +303,9 @@
 	bool well = feed_is_well(feed);
 
 	edge->reader = may_read(edge, now);
-	for (int kind = 0; kind < MIRROR_KIND_COUNT; kind++) {
+	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++) {
 		store_t *store = &feed->stores[kind];
-		bool old = mirror_age(store->mirror, now) > read_age(edge);
+		bool old = replica_age(store->replica, now) > read_age(edge);
 
 		log_reading(edge, store, edge->reader || old);
 		store_set_active(store, edge->reader || old,
@@ -344,7 +344,7 @@
 		mesh_tick(&edge->mesh, now);
 	if (edge->ticks % SETTINGS_TICKS == 0) {
 		look_at_settings(edge);
-		directory_sweep(&edge->directory, now);
+		registry_free_removed(&edge->registry, now);
 	}
 	httpd_sweep(&edge->health, now);
 	watch_ability(edge, now);
@@ -436,9 +436,9 @@
 		.dialect = &platform_dialect,
 		.bounds = bounds_of(&edge->settings),
 		.first_start = edge->settings.first_start,
-		.directory = &edge->directory,
+		.registry = &edge->registry,
 		.roster = &edge->roster,
-		.mirror = &edge->feed.mirrors[MIRROR_CONFIGURATION],
+		.replica = &edge->feed.mirrors[REPLICA_CONFIGURATION],
 		.slots = &edge->slots,
 		.send_quota = on_send_quota,
 		.send_context = edge,
@@ -458,7 +458,7 @@
 		.note_port = edge->settings.gossip_port,
 		.roster = &edge->roster,
 		.mirrors = edge->feed.mirrors,
-		.directory = &edge->directory,
+		.registry = &edge->registry,
 		.quota = &edge->gateway.quota,
 		.slots = &edge->slots,
 	};
@@ -483,17 +483,17 @@
 	edge->loop = ev_default_loop(EVFLAG_NOENV);
 	if (!edge->loop)
 		return PIMENTO_EIO;
-	directory_init(&edge->directory);
+	registry_init(&edge->registry);
 	if (!error)
 		error = roster_init(&edge->roster, self, sys_random());
-	slots_init(&edge->slots, &edge->directory, &edge->roster, self);
+	slots_init(&edge->slots, &edge->registry, &edge->roster, self);
 	edge->slots.replied = on_replied;
 	edge->slots.context = edge;
 	if (!error)
 		error = net_parse(edge->settings.store, &store);
 	if (error)
 		return error;
-	feed_init(&edge->feed, edge->loop, &store, &edge->directory, &feed_ops,
+	feed_init(&edge->feed, edge->loop, &store, &edge->registry, &feed_ops,
 		  edge);
 	error = start_gateway(edge);
 	if (!error)
@@ -524,7 +524,7 @@
 	feed_finish(&edge->feed);
 	slots_finish(&edge->slots);
 	roster_finish(&edge->roster);
-	directory_finish(&edge->directory);
+	registry_finish(&edge->registry);
 }
 
 static int serve(edge_t *edge)
--- a/io/admission.c
+++ b/io/admission.c
@@ -58,10 +58,10 @@
 
 static double tokens_of(const exchange_t *x)
 {
-	if (x->account->by_request)
+	if (x->account->counts_requests)
 		return 1;
 	return x->call.sized ? x->call.prompt + x->call.answer
-			     : x->account->plain_tokens;
+			     : x->account->default_request_tokens;
 }
 
 void admission_begin(exchange_t *x)
--- a/io/arrival.c
+++ b/io/arrival.c
@@ -36,7 +36,7 @@
 /* True if keys may be honoured: none that we hold can have been dead long. */
 static bool is_fresh(const gateway_t *gateway, pimento_usec_t now)
 {
-	return mirror_age(gateway->mirror, now) < gateway->bounds.key_lease;
+	return replica_age(gateway->replica, now) < gateway->bounds.key_lease;
 }
 
 bool gateway_able(const gateway_t *gateway, pimento_usec_t now)
@@ -69,8 +69,8 @@
 	const judgement_t good = { 0, "-", GATEWAY_SERVED };
 
 	if (x->call.key)
-		x->account = catalog_account(x->catalog, x->call.key);
-	if (x->route->open || !x->catalog->account_count)
+		x->account = catalog_find_account(x->catalog, x->call.key);
+	if (x->route->allows_anonymous || !x->catalog->account_count)
 		return good;
 	if (!x->account)
 		return deny(gateway, HTTP_STATUS_UNAUTHORIZED, "unknown_key",
@@ -90,8 +90,8 @@
 		return (judgement_t){ HTTP_STATUS_BAD_REQUEST, "no_id",
 				      GATEWAY_DENIED };
 	if (host)
-		x->route = catalog_route(x->catalog, host,
-					 x->caller->target.bytes);
+		x->route = catalog_find_route(x->catalog, host,
+					      x->caller->target.bytes);
 	if (!x->route)
 		return deny(gateway, HTTP_STATUS_NOT_FOUND, "no_route", now);
 	return judge_key(gateway, x, now);
@@ -107,7 +107,7 @@
 	      call->id ? call->id : "-", judgement->status, judgement->why,
 	      gateway->catalog ? (unsigned long long)gateway->catalog->version
 			       : 0ULL,
-	      (long long)(mirror_age(gateway->mirror, sys_now()) /
+	      (long long)(replica_age(gateway->replica, sys_now()) /
 			  PIMENTO_MSEC));
 	gateway->counters.outcomes[judgement->outcome]++;
 	if (judgement->outcome == GATEWAY_REFUSED)
@@ -142,7 +142,7 @@
 {
 	uint64_t first = x->route->priority;
 
-	if (x->account && x->account->ranked)
+	if (x->account && x->account->has_priority)
 		first = x->account->priority;
 	return first << 32 | x->route->priority;
 }
@@ -150,23 +150,23 @@
 /* From a free place to the answer, and to its end, at an average endpoint. */
 static void set_expected(const exchange_t *x, wait_queue_timing_t *terms)
 {
-	const directory_service_t *service =
-		directory_service(x->gateway->directory, x->service->key);
+	const registry_service_t *service =
+		registry_get_service(x->gateway->registry, x->service->key);
 	const latency_model_t average = { 0 };
 
 	if (!service)
 		return;
 	terms->expected_latency = (pimento_usec_t)latency_expected_first_event(
-		&average, &service->pace, x->call.prompt);
+		&average, &service->latency, x->call.prompt);
 	terms->expected_slot_time = terms->expected_latency;
 	if (x->engine)
 		terms->expected_slot_time +=
 			(pimento_usec_t)latency_expected_stream_time(
-				&average, &service->pace, x->call.expected);
+				&average, &service->latency, x->call.expected);
 	else
 		terms->expected_latency =
 			(pimento_usec_t)latency_p90_first_event(
-				&average, &service->pace, x->call.prompt);
+				&average, &service->latency, x->call.prompt);
 }
 
 static void set_wait(exchange_t *x)
@@ -174,8 +174,8 @@
 	wait_queue_timing_t terms = {
 		.arrived = x->arrived,
 		.spent_before = x->spent,
-		.objective = x->route->goal,
-		.gap_objective = x->route->gap_goal,
+		.objective = x->route->objective,
+		.gap_objective = x->route->gap_objective,
 		.deadline = x->end,
 	};
 
@@ -188,11 +188,11 @@
 {
 	const catalog_service_t *service;
 	gateway_t *gateway = x->gateway;
-	pimento_id_t key = catalog_pick(x->route, x->draw);
+	pimento_id_t key = catalog_select_service(x->route, x->draw);
 
-	service = catalog_service(x->catalog, key);
+	service = catalog_find_service(x->catalog, key);
 	x->service = gateway_service(gateway, key);
-	x->engine = service && service->engine;
+	x->engine = service && service->is_engine;
 	x->repeatable =
 		x->route->kind == CATALOG_IDEMPOTENT ||
 		(x->route->kind == CATALOG_STREAMING && x->route->resumable);
@@ -208,13 +208,13 @@
 		return NULL;
 	x->gateway = gateway;
 	x->caller = caller;
-	x->catalog = catalog_hold(gateway->catalog);
+	x->catalog = catalog_retain(gateway->catalog);
 	x->arrived = caller->first_byte;
 	x->length = -1;
 	x->draw = gateway_draw(gateway);
 	text_init(&x->fields);
 	text_init(&x->body);
-	events_init(&x->events);
+	sse_init(&x->events);
 	return x;
 }
 
--- a/io/dispatch.c
+++ b/io/dispatch.c
@@ -42,7 +42,7 @@
 
 void dispatch_read(exchange_t *x)
 {
-	x->endpoint->reading -= x->reading;
+	x->endpoint->pending_prompt_tokens -= x->reading;
 	x->reading = 0;
 }
 
@@ -57,13 +57,13 @@
 /* Lets go of an endpoint; the connection has been dealt with. */
 static void let_go(exchange_t *x)
 {
-	directory_endpoint_t *endpoint = x->endpoint;
+	registry_endpoint_t *endpoint = x->endpoint;
 
 	if (!endpoint)
 		return;
 	dispatch_read(x);
 	free_slot(x);
-	endpoint->holders--;
+	endpoint->refs--;
 	x->endpoint = NULL;
 	x->conn = NULL;
 	placing_give_back(x);
@@ -124,8 +124,8 @@
 	text_t head;
 	bool asked;
 
-	if (!directory_takes(x->endpoint, now) ||
-	    x->life != x->endpoint->life) {
+	if (!registry_endpoint_accepts_work(x->endpoint, now) ||
+	    x->life != x->endpoint->incarnation) {
 		dispatch_over(x, PIMENTO_NOT_RUN, 0, "endpoint_left");
 		return;
 	}
@@ -152,7 +152,7 @@
 	x->event_at = now;
 	x->events_before = x->events.count;
 	x->told_pace = false;
-	x->load = x->endpoint->running + x->endpoint->elsewhere;
+	x->load = x->endpoint->running + x->endpoint->remote_running;
 	x->arrivals++;
 	x->runs++;
 	x->gateway->counters.attempts++;
@@ -165,7 +165,7 @@
 }
 
 /* Takes a place at an endpoint, and a connection there. */
-void dispatch_begin(exchange_t *x, directory_endpoint_t *endpoint)
+void dispatch_begin(exchange_t *x, registry_endpoint_t *endpoint)
 {
 	gateway_t *gateway = x->gateway;
 	pimento_usec_t now = sys_now();
@@ -175,12 +175,13 @@
 	x->state = EXCHANGE_CONNECTING;
 	x->finding = LATENCY_OUTCOME_NONE;
 	x->endpoint = endpoint;
-	x->life = endpoint->life;
-	x->ahead = endpoint->reading + endpoint->reading_elsewhere;
+	x->life = endpoint->incarnation;
+	x->ahead = endpoint->pending_prompt_tokens +
+		   endpoint->remote_prompt_tokens;
 	x->reading = x->call.prompt;
-	endpoint->reading += x->reading;
+	endpoint->pending_prompt_tokens += x->reading;
 	endpoint->running++;
-	endpoint->holders++;
+	endpoint->refs++;
 	x->conn = pool_take(&gateway->pool, endpoint, !x->repeatable, now);
 	if (!x->conn) {
 		dispatch_over(x, PIMENTO_NOT_RUN, 0, "no_connection");
@@ -197,8 +198,8 @@
 static void wait_again(exchange_t *x)
 {
 	const wait_queue_timing_t terms = {
-		.objective = x->route->goal,
-		.gap_objective = x->route->gap_goal,
+		.objective = x->route->objective,
+		.gap_objective = x->route->gap_objective,
 		.deadline = x->end,
 	};
 
@@ -212,7 +213,7 @@
 	x->state = EXCHANGE_WAITING;
 	wait_again(x);
 	x->resuming = x->streaming;
-	events_restart(&x->events);
+	sse_discard_partial(&x->events);
 	wait_queue_push(&x->service->line, &x->wait);
 	placing_pump(x->gateway, x->service);
 }
@@ -279,13 +280,13 @@
 {
 	exchange_t *x = conn->user;
 	pimento_verdict_t verdict = PIMENTO_MAY_HAVE_RUN;
-	directory_service_t *service;
+	registry_service_t *service;
 
 	if (!x) {
 		pool_over(conn);
 		return;
 	}
-	service = directory_service(x->gateway->directory, x->service->key);
+	service = registry_get_service(x->gateway->registry, x->service->key);
 	if (why == HTTPC_UNREACHED || x->state == EXCHANGE_CONNECTING) {
 		verdict = PIMENTO_NOT_RUN;
 		x->finding = LATENCY_OUTCOME_UNREACHABLE;
@@ -295,7 +296,7 @@
 		   x->rested > STALE_LEAST) {
 		pool_stale(conn, x->rested);
 	} else if (service) {
-		latency_add_failure(&x->endpoint->pace, &service->pace,
+		latency_add_failure(&x->endpoint->latency, &service->latency,
 				    sys_now());
 		if (why == HTTPC_BROKEN && !conn->status) {
 			x->finding = LATENCY_OUTCOME_RESET;
@@ -315,10 +316,10 @@
 
 static bool is_silent(const exchange_t *x, pimento_usec_t now)
 {
-	pimento_usec_t most = x->route->goal * SILENT_GOALS;
+	pimento_usec_t most = x->route->objective * SILENT_GOALS;
 
 	if (x->first_at)
-		most = x->route->gap_goal * SILENT_GAPS;
+		most = x->route->gap_objective * SILENT_GAPS;
 	if (most < SILENT_LEAST)
 		most = SILENT_LEAST;
 	return now - x->event_at > most;
@@ -327,13 +328,14 @@
 /* True if an endpoint that works would have answered long ago. */
 static bool is_overdue(const exchange_t *x, pimento_usec_t now)
 {
-	const directory_service_t *service =
-		directory_service(x->gateway->directory, x->service->key);
+	const registry_service_t *service =
+		registry_get_service(x->gateway->registry, x->service->key);
 	double most;
 
 	if (x->engine || x->state != EXCHANGE_SENT || !service)
 		return false;
-	most = latency_p90_first_event(&x->endpoint->pace, &service->pace, 0);
+	most = latency_p90_first_event(&x->endpoint->latency, &service->latency,
+				       0);
 	return most > 0 && (double)(now - x->sent_at) > OVERDUE_TIMES * most;
 }
 
--- a/io/exchange.c
+++ b/io/exchange.c
@@ -65,7 +65,7 @@
 	      x->call.prompt, x->call.expected, x->events.count,
 	      (long long)msec(x->pause_most),
 	      (unsigned long long)x->catalog->version,
-	      (long long)msec(mirror_age(x->gateway->mirror, now)));
+	      (long long)msec(replica_age(x->gateway->replica, now)));
 }
 
 void exchange_finish(exchange_t *x, gateway_outcome_t outcome, const char *why)
@@ -98,7 +98,7 @@
 	catalog_release(x->catalog);
 	text_finish(&x->fields);
 	text_finish(&x->body);
-	events_finish(&x->events);
+	sse_finish(&x->events);
 	free(x);
 	if (service)
 		placing_pump(gateway, service);
--- a/io/exchange.h
+++ b/io/exchange.h
@@ -19,7 +19,7 @@
 /* A place at an engine, asked of its owner. */
 typedef struct exchange_place {
 	uint64_t ticket; /* 0: none */
-	directory_endpoint_t *endpoint; /* held while there is a ticket */
+	registry_endpoint_t *endpoint; /* held while there is a ticket */
 	pimento_usec_t asked_at;
 	bool in_line; /* the owner has answered */
 } exchange_place_t;
@@ -52,7 +52,7 @@
 
 	/* The attempt under way. */
 	httpc_t *conn;
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 	pimento_usec_t rested; /* how long the connection had, if reused */
 	pimento_usec_t sent_at;
 	pimento_usec_t event_at; /* last event */
@@ -64,7 +64,7 @@
 	int64_t length; /* stated, or -1 */
 	text_t fields; /* header lines for the caller */
 	text_t body; /* of a plain answer, held until whole */
-	events_t events;
+	sse_t events;
 
 	pimento_id_t tried[PLACEMENT_TRIED_MAX]; /* in all attempts */
 	uint32_t tried_count;
@@ -151,7 +151,7 @@
 /* dispatch.c */
 void dispatch_init(gateway_t *gateway);
 /* Takes a place at an endpoint, and a connection there. */
-void dispatch_begin(exchange_t *exchange, directory_endpoint_t *endpoint);
+void dispatch_begin(exchange_t *exchange, registry_endpoint_t *endpoint);
 /* The endpoint has read the prompt: its answer has begun. */
 void dispatch_read(exchange_t *exchange);
 /* The attempt ended well; its connection rests. */
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -131,19 +131,21 @@
 /* What peers said of their load, added up once a tick. */
 static void add_up_peers(gateway_t *gateway, pimento_usec_t now)
 {
-	for (uint32_t i = 0; i < gateway->directory->count; i++) {
-		directory_endpoint_t *e = gateway->directory->endpoints[i];
+	for (uint32_t i = 0; i < gateway->registry->count; i++) {
+		registry_endpoint_t *e = gateway->registry->endpoints[i];
 
 		roster_load_t load = roster_load(gateway->roster, e->key, now);
 
-		e->elsewhere = load.running;
-		if (now - e->told_at < TOLD_AGE)
-			e->elsewhere = e->told.running > e->told_own
-					       ? e->told.running - e->told_own
-					       : 0;
+		e->remote_running = load.running;
+		if (now - e->report_at < TOLD_AGE)
+			e->remote_running =
+				e->report.running > e->own_running_at_report
+					? e->report.running -
+						  e->own_running_at_report
+					: 0;
 		else
-			e->told.waiting = 0;
-		e->reading_elsewhere = load.reading;
+			e->report.waiting = 0;
+		e->remote_prompt_tokens = load.reading;
 		pool_sweep(e, now);
 	}
 }
@@ -174,11 +176,11 @@
 {
 	for (uint32_t i = 0; i < catalog->service_count; i++) {
 		const catalog_service_t *from = &catalog->services[i];
-		directory_service_t *service =
-			directory_service(gateway->directory, from->key);
+		registry_service_t *service =
+			registry_get_service(gateway->registry, from->key);
 
 		if (service)
-			service->plain = !from->engine;
+			service->queues_requests = !from->is_engine;
 	}
 }
 
@@ -220,10 +222,10 @@
 	gateway->dialect = setup->dialect;
 	gateway->datacentre = setup->datacentre;
 	gateway->bounds = setup->bounds;
-	gateway->directory = setup->directory;
-	gateway->directory->dropped = pool_drop;
+	gateway->registry = setup->registry;
+	gateway->registry->on_endpoint_free = pool_drop;
 	gateway->roster = setup->roster;
-	gateway->mirror = setup->mirror;
+	gateway->replica = setup->replica;
 	gateway->slots = setup->slots;
 	gateway->draws = sys_random();
 	gateway->send_quota = setup->send_quota;
@@ -242,8 +244,8 @@
 void gateway_finish(gateway_t *gateway)
 {
 	httpd_finish(&gateway->front);
-	for (uint32_t i = 0; i < gateway->directory->count; i++)
-		pool_close(gateway->directory->endpoints[i]);
+	for (uint32_t i = 0; i < gateway->registry->count; i++)
+		pool_close(gateway->registry->endpoints[i]);
 	for (uint32_t i = 0; i < gateway->service_count; i++)
 		free(gateway->services[i]);
 	free(gateway->services);
--- a/io/gateway.h
+++ b/io/gateway.h
@@ -14,8 +14,8 @@
 
 #include "../src/quota_fleet.h"
 #include "../src/catalog.h"
-#include "../src/events.h"
-#include "../src/mirror.h"
+#include "../src/sse.h"
+#include "../src/replica.h"
 #include "../src/client_timeout.h"
 #include "../src/placement.h"
 #include "../src/retry_budget.h"
@@ -88,9 +88,9 @@
 	const dialect_ops_t *dialect;
 	const char *datacentre;
 	gateway_bounds_t bounds;
-	directory_t *directory;
+	registry_t *registry;
 	roster_t *roster;
-	const mirror_t *mirror;
+	const replica_t *replica;
 	slots_t *slots;
 	quota_fleet_ops_t quota_ops;
 	quota_fleet_t quota;
@@ -123,9 +123,9 @@
 	const dialect_ops_t *dialect;
 	gateway_bounds_t bounds;
 	bool first_start; /* of the whole system */
-	directory_t *directory;
+	registry_t *registry;
 	roster_t *roster;
-	const mirror_t *mirror;
+	const replica_t *replica;
 	slots_t *slots;
 	/* Sends a message about quotas to another host. */
 	void (*send_quota)(void *context, uint32_t address,
--- a/io/mesh.c
+++ b/io/mesh.c
@@ -49,14 +49,14 @@
 
 static void add_loads(const mesh_t *mesh, roster_note_t *note)
 {
-	const directory_t *directory = mesh->directory;
+	const registry_t *registry = mesh->registry;
 
 	if (mesh->roster->count > LOADS_HOSTS_MAX)
 		return;
-	for (uint32_t i = 0; i < directory->count; i++) {
-		const directory_endpoint_t *e = directory->endpoints[i];
+	for (uint32_t i = 0; i < registry->count; i++) {
+		const registry_endpoint_t *e = registry->endpoints[i];
 		roster_load_t load = { (uint32_t)e->key, e->running,
-				       e->reading };
+				       e->pending_prompt_tokens };
 
 		if (e->running && note->load_count < ROSTER_LOADS_MAX)
 			note->loads[note->load_count++] = load;
@@ -90,10 +90,10 @@
 
 	note->stamp = now;
 	note->echo = roster_stamp_of(mesh->roster, address);
-	for (int kind = 0; kind < MIRROR_KIND_COUNT; kind++)
+	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++)
 		note->copies[kind] = (roster_copy_t){
 			mesh->mirrors[kind].revision,
-			mirror_age(&mesh->mirrors[kind], now),
+			replica_age(&mesh->mirrors[kind], now),
 		};
 	packet.as.gossip = *note;
 	length = packet_pack(&packet, bytes, sizeof(bytes));
@@ -170,17 +170,17 @@
 static void take_note(mesh_t *mesh, const roster_note_t *note,
 		      pimento_usec_t now)
 {
-	pimento_usec_t fresh[MIRROR_KIND_COUNT];
+	pimento_usec_t fresh[REPLICA_KIND_COUNT];
 
 	mesh->notes_in++;
 	if (!roster_receive(mesh->roster, note, now, fresh))
 		return;
-	for (int kind = 0; kind < MIRROR_KIND_COUNT; kind++) {
+	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++) {
 		if (fresh[kind] == INT64_MIN)
 			continue;
-		mirror_store_answered(&mesh->mirrors[kind], fresh[kind], now);
-		mirror_confirm(&mesh->mirrors[kind],
-			       note->copies[kind].revision, fresh[kind]);
+		replica_store_answered(&mesh->mirrors[kind], fresh[kind], now);
+		replica_confirm(&mesh->mirrors[kind],
+				note->copies[kind].revision, fresh[kind]);
 	}
 	slots_hear(mesh->slots, note, now);
 	for (uint32_t i = 0; i < note->quota_count; i++)
@@ -227,10 +227,11 @@
 /* Serving snapshots. */
 
 /* Parses "COLLECTION/REVISION"; returns NULL if the collection is unknown. */
-static mirror_t *mirror_of_path(mesh_t *mesh, const char *path, uint64_t *after)
+static replica_t *mirror_of_path(mesh_t *mesh, const char *path,
+				 uint64_t *after)
 {
-	for (int kind = 0; kind < MIRROR_KIND_COUNT; kind++) {
-		const char *name = mirror_kind_name((mirror_kind_t)kind);
+	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++) {
+		const char *name = replica_kind_name((replica_kind_t)kind);
 		size_t length = strlen(name);
 
 		if (strncmp(path, name, length) != 0 || path[length] != '/')
@@ -244,17 +245,17 @@
 static void serve_snapshot(mesh_t *mesh, httpd_conn_t *conn, const char *path)
 {
 	uint64_t after;
-	mirror_t *mirror = mirror_of_path(mesh, path, &after);
+	replica_t *replica = mirror_of_path(mesh, path, &after);
 	char fields[128];
 	uint8_t *bytes;
 	size_t length;
 
-	if (!mirror) {
+	if (!replica) {
 		httpd_answer(conn, HTTP_STATUS_NOT_FOUND, "", "", 0);
 		return;
 	}
-	if (mirror->fresh == MIRROR_NEVER ||
-	    snapshot_pack(mirror, after, &bytes, &length)) {
+	if (replica->confirmed_at == REPLICA_NEVER ||
+	    snapshot_pack(replica, after, &bytes, &length)) {
 		httpd_answer(conn, HTTP_STATUS_SERVICE_UNAVAILABLE, "", "", 0);
 		return;
 	}
@@ -262,7 +263,8 @@
 	snprintf(fields, sizeof(fields),
 		 "Content-Type: application/x-protobuf\r\n" AGE_FIELD
 		 ": %lld\r\n",
-		 (long long)(mirror_age(mirror, sys_now()) / PIMENTO_MSEC) + 1);
+		 (long long)(replica_age(replica, sys_now()) / PIMENTO_MSEC) +
+			 1);
 	httpd_answer(conn, HTTP_STATUS_OK, fields, (const char *)bytes, length);
 	free(bytes);
 }
@@ -310,7 +312,7 @@
 	inet_ntop(AF_INET, &address, peer, sizeof(peer));
 	trail(TRAIL_STATE, "mesh", "fetch",
 	      "collection=%s peer=%s outcome=%s bytes=%zu ms=%lld",
-	      mirror_kind_name(fetch->kind), peer, outcome, fetch->body.length,
+	      replica_kind_name(fetch->kind), peer, outcome, fetch->body.length,
 	      (long long)((sys_now() - fetch->progress.started) /
 			  PIMENTO_MSEC));
 }
@@ -329,27 +331,27 @@
 	pimento_usec_t age = text ? strtoll(text, NULL, 10) * PIMENTO_MSEC : 0;
 
 	if (age > 0)
-		mirror_confirm(&fetch->mesh->mirrors[fetch->kind], 0,
-			       fetch->progress.started - age);
+		replica_confirm(&fetch->mesh->mirrors[fetch->kind], 0,
+				fetch->progress.started - age);
 }
 
 static void take_snapshot(mesh_fetch_t *fetch, const httpc_t *conn)
 {
-	mirror_t *mirror = &fetch->mesh->mirrors[fetch->kind];
-	uint64_t before = mirror->revision;
-	int result = snapshot_apply(mirror, (const uint8_t *)fetch->body.bytes,
+	replica_t *replica = &fetch->mesh->mirrors[fetch->kind];
+	uint64_t before = replica->revision;
+	int result = snapshot_apply(replica, (const uint8_t *)fetch->body.bytes,
 				    fetch->body.length);
 
 	if (result >= 0)
 		confirm_snapshot(fetch, conn);
-	if (result >= 0 && mirror->revision == before)
+	if (result >= 0 && replica->revision == before)
 		return; /* the copy was updated during the fetch */
 	if (result >= 0)
 		fetch->mesh->snapshots_in++;
 	trail(TRAIL_STATE, "mesh", "snapshot",
 	      "collection=%s revision=%llu before=%llu records=%d error=%s",
-	      mirror_kind_name(fetch->kind),
-	      (unsigned long long)mirror->revision, (unsigned long long)before,
+	      replica_kind_name(fetch->kind),
+	      (unsigned long long)replica->revision, (unsigned long long)before,
 	      result < 0 ? 0 : result,
 	      result < 0 ? pimento_strerror(result) : "-");
 }
@@ -357,13 +359,13 @@
 static void on_opened(httpc_t *conn)
 {
 	mesh_fetch_t *fetch = conn->user;
-	const mirror_t *mirror = &fetch->mesh->mirrors[fetch->kind];
+	const replica_t *replica = &fetch->mesh->mirrors[fetch->kind];
 	char head[128];
 	int length = snprintf(head, sizeof(head),
 			      "GET " SNAPSHOT_PATH "%s/%llu HTTP/1.1\r\n"
 			      "Host: peer\r\nConnection: close\r\n\r\n",
-			      mirror_kind_name(fetch->kind),
-			      (unsigned long long)mirror->revision);
+			      replica_kind_name(fetch->kind),
+			      (unsigned long long)replica->revision);
 
 	if (!httpc_ask(conn, head, (size_t)length, "", 0, false)) {
 		fetch_failed(fetch, "not_sent");
@@ -447,7 +449,7 @@
 
 static void catch_up(mesh_fetch_t *fetch, pimento_usec_t now)
 {
-	const mirror_t *mirror = &fetch->mesh->mirrors[fetch->kind];
+	const replica_t *replica = &fetch->mesh->mirrors[fetch->kind];
 	const roster_peer_t *peer;
 
 	if (fetch->conn) {
@@ -464,7 +466,7 @@
 	if (!fetch->behind_since)
 		fetch->behind_since = now;
 	if (now - fetch->behind_since >= BEHIND_MOST || !fetch->mesh->reader ||
-	    mirror->fresh == MIRROR_NEVER)
+	    replica->confirmed_at == REPLICA_NEVER)
 		begin_fetch(fetch, peer, now);
 }
 
@@ -514,7 +516,7 @@
 	slots_tick(mesh->slots, now);
 	log_members(mesh, now);
 	send_notes(mesh, now);
-	for (int kind = 0; kind < MIRROR_KIND_COUNT; kind++)
+	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++)
 		catch_up(&mesh->fetches[kind], now);
 	httpd_sweep(&mesh->server, now);
 }
@@ -558,12 +560,12 @@
 	mesh->roster = setup->roster;
 	mesh->incarnation = roster_incarnation(setup->roster);
 	mesh->mirrors = setup->mirrors;
-	mesh->directory = setup->directory;
+	mesh->registry = setup->registry;
 	mesh->quota = setup->quota;
 	mesh->slots = setup->slots;
-	for (int kind = 0; kind < MIRROR_KIND_COUNT; kind++) {
+	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++) {
 		mesh->fetches[kind].mesh = mesh;
-		mesh->fetches[kind].kind = (mirror_kind_t)kind;
+		mesh->fetches[kind].kind = (replica_kind_t)kind;
 		text_init(&mesh->fetches[kind].body);
 	}
 	fd = net_datagram(&notes);
@@ -584,7 +586,7 @@
 {
 	ev_io_stop(mesh->loop, &mesh->datagrams);
 	close(mesh->datagrams.fd);
-	for (int kind = 0; kind < MIRROR_KIND_COUNT; kind++) {
+	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++) {
 		if (mesh->fetches[kind].conn)
 			httpc_close(mesh->fetches[kind].conn);
 		text_finish(&mesh->fetches[kind].body);
--- a/io/mesh.h
+++ b/io/mesh.h
@@ -13,8 +13,8 @@
 #include "slots.h"
 
 #include "../src/quota_fleet.h"
-#include "../src/directory.h"
-#include "../src/mirror.h"
+#include "../src/registry.h"
+#include "../src/replica.h"
 #include "../src/progress.h"
 #include "../src/roster.h"
 
@@ -26,7 +26,7 @@
 /* Fetch state of one collection; at most one fetch runs at a time. */
 typedef struct mesh_fetch {
 	struct mesh *mesh;
-	mirror_kind_t kind;
+	replica_kind_t kind;
 	httpc_t *conn; /* NULL: no fetch in progress */
 	text_t body;
 	uint32_t peer; /* IPv4 address, host byte order */
@@ -45,11 +45,11 @@
 	uint16_t peer_port;
 	uint64_t incarnation;
 	roster_t *roster;
-	mirror_t *mirrors; /* indexed by mirror_kind_t */
-	directory_t *directory;
+	replica_t *mirrors; /* indexed by replica_kind_t */
+	registry_t *registry;
 	quota_fleet_t *quota;
 	slots_t *slots;
-	mesh_fetch_t fetches[MIRROR_KIND_COUNT];
+	mesh_fetch_t fetches[REPLICA_KIND_COUNT];
 	bool reader; /* this host reads the store with success; set by others */
 	uint64_t changes_logged; /* of the roster */
 	pimento_usec_t members_logged_at;
@@ -72,8 +72,8 @@
 	net_address_t listen; /* of peers */
 	uint16_t note_port; /* the same on all hosts */
 	roster_t *roster;
-	mirror_t *mirrors; /* indexed by mirror_kind_t */
-	directory_t *directory;
+	replica_t *mirrors; /* indexed by replica_kind_t */
+	registry_t *registry;
 	quota_fleet_t *quota;
 	slots_t *slots; /* is given the mesh's socket and port */
 } mesh_setup_t;
--- a/io/metrics.c
+++ b/io/metrics.c
@@ -53,9 +53,9 @@
 		waiting += gateway->services[i]->line.count;
 	gauge(text, "requests_waiting", waiting);
 	gauge(text, "connections_callers", gateway->front.count);
-	gauge(text, "endpoints", gateway->directory->count);
+	gauge(text, "endpoints", gateway->registry->count);
 	gauge(text, "copy_age_seconds",
-	      (double)mirror_age(gateway->mirror, now) / (double)PIMENTO_SEC);
+	      (double)replica_age(gateway->replica, now) / (double)PIMENTO_SEC);
 	gauge(text, "config_version",
 	      gateway->catalog ? (double)gateway->catalog->version : 0);
 }
--- a/io/placing.c
+++ b/io/placing.c
@@ -49,7 +49,7 @@
 {
 	words.ticket = place->ticket;
 	slots_release(slots, place->endpoint, &words, sys_now());
-	place->endpoint->holders--;
+	place->endpoint->refs--;
 }
 
 void placing_give_back(exchange_t *x)
@@ -66,7 +66,7 @@
 /* True if the owner of the place knows about the pace that was seen. */
 static bool is_known(const exchange_t *x, pimento_usec_t gap)
 {
-	double told = x->place.endpoint->told.gap_us;
+	double told = x->place.endpoint->report.event_gap_us;
 
 	return told > 0 && (double)gap < told * NEWS_RATIO &&
 	       told < (double)gap * NEWS_RATIO;
@@ -151,7 +151,7 @@
  * Asks for a place. Returns true if one was given at once, because this host
  * is the owner; x->given is its ticket.
  */
-static bool ask(exchange_t *x, directory_endpoint_t *endpoint,
+static bool ask(exchange_t *x, registry_endpoint_t *endpoint,
 		pimento_usec_t now)
 {
 	gateway_t *gateway = x->gateway;
@@ -168,7 +168,7 @@
 	x->lines[x->line_count++] = (exchange_place_t){
 		.ticket = question.ticket, .endpoint = endpoint, .asked_at = now
 	};
-	endpoint->holders++;
+	endpoint->refs++;
 	x->given = 0;
 	/* What this ends as the owner is looked at later, not in between. */
 	gateway->pumping = true;
@@ -180,11 +180,11 @@
 }
 
 /* True if places of this endpoint are to be asked for. */
-static bool is_owned(const exchange_t *x, const directory_endpoint_t *endpoint,
+static bool is_owned(const exchange_t *x, const registry_endpoint_t *endpoint,
 		     pimento_usec_t now)
 {
 	return roster_hosts(x->gateway->roster, now) > 1 &&
-	       endpoint->owner_silent_until <= now;
+	       endpoint->owner_unresponsive_until <= now;
 }
 
 /* What placement looks at; the lines that x stands in are left out. */
@@ -195,10 +195,10 @@
 		.prompt_tokens = x->call.prompt,
 		.answer_tokens = x->call.expected,
 		.time_left = x->end - now,
-		.objective = x->route->goal,
+		.objective = x->route->objective,
 		.first_event_within =
-			x->wait.first_attempt_at + x->route->goal - now,
-		.gap_objective = x->route->gap_goal,
+			x->wait.first_attempt_at + x->route->objective - now,
+		.gap_objective = x->route->gap_objective,
 		.engine_stream = x->engine,
 		.overdue = x->wait.overdue,
 		.datacentre = x->gateway->datacentre,
@@ -209,7 +209,7 @@
 }
 
 static placement_result_t place(exchange_t *x, bool in_line, pimento_usec_t now,
-				directory_endpoint_t **endpoint)
+				registry_endpoint_t **endpoint)
 {
 	pimento_id_t asked[GRANTS_LINES];
 	placement_request_t request = request_of(x, now);
@@ -220,7 +220,7 @@
 	for (uint32_t i = 0; i < x->line_count; i++)
 		asked[i] = x->lines[i].endpoint->key;
 
-	return placement_choose(x->gateway->directory, &request, now, endpoint);
+	return placement_choose(x->gateway->registry, &request, now, endpoint);
 }
 
 /* The endpoints that were tried may be tried again, if nothing has run. */
@@ -255,7 +255,7 @@
 	return i;
 }
 
-static step_t ask_for_place(exchange_t *x, directory_endpoint_t *endpoint,
+static step_t ask_for_place(exchange_t *x, registry_endpoint_t *endpoint,
 			    pimento_usec_t now)
 {
 	if (!ask(x, endpoint, now))
@@ -265,7 +265,7 @@
 }
 
 /* Takes a place without leave; its owner, if there is one, is to count it. */
-static void take_anyway(exchange_t *x, directory_endpoint_t *endpoint,
+static void take_anyway(exchange_t *x, registry_endpoint_t *endpoint,
 			pimento_usec_t now)
 {
 	grants_ask_t told = { .ticket = gateway_draw(x->gateway) | 1,
@@ -275,14 +275,14 @@
 	if (roster_hosts(x->gateway->roster, now) > 1) {
 		x->place.ticket = told.ticket;
 		x->place.endpoint = endpoint;
-		endpoint->holders++;
+		endpoint->refs++;
 		slots_ask(x->gateway->slots, endpoint, &told, now);
 	}
 	dispatch_begin(x, endpoint);
 }
 
 /* A place that looks free: asks its owner, if it has one that answers. */
-static step_t take_place(exchange_t *x, directory_endpoint_t *endpoint,
+static step_t take_place(exchange_t *x, registry_endpoint_t *endpoint,
 			 pimento_usec_t now)
 {
 	if (is_owned(x, endpoint, now))
@@ -294,7 +294,7 @@
 /* Stands in the lines of the best endpoints, up to GRANTS_LINES. */
 static step_t stand_in_lines(exchange_t *x, pimento_usec_t now)
 {
-	directory_endpoint_t *endpoint = NULL;
+	registry_endpoint_t *endpoint = NULL;
 
 	while (x->line_count < GRANTS_LINES &&
 	       place(x, true, now, &endpoint) == PLACEMENT_FOUND &&
@@ -306,7 +306,7 @@
 
 static step_t step(exchange_t *x, pimento_usec_t now)
 {
-	directory_endpoint_t *endpoint = NULL;
+	registry_endpoint_t *endpoint = NULL;
 
 	switch (place(x, false, now, &endpoint)) {
 	case PLACEMENT_FOUND:
@@ -367,7 +367,8 @@
 		pimento_usec_t age = now - line->asked_at;
 
 		if (!line->in_line && age > ASK_SILENT)
-			line->endpoint->owner_silent_until = now + OWNER_SILENT;
+			line->endpoint->owner_unresponsive_until =
+				now + OWNER_SILENT;
 		else if (age < ASK_MOST)
 			continue;
 		left[count++] = take_line(x, i);
@@ -392,14 +393,14 @@
  * Grants are advisory: the owner's report, which came with it, may be the
  * first that this host hears of the endpoint's speed.
  */
-static bool is_welcome(const exchange_t *x,
-		       const directory_endpoint_t *endpoint, pimento_usec_t now)
+static bool is_welcome(const exchange_t *x, const registry_endpoint_t *endpoint,
+		       pimento_usec_t now)
 {
 	const placement_request_t request = request_of(x, now);
 
-	return directory_takes(endpoint, now) &&
-	       placement_accepts_grant(x->gateway->directory, &request,
-				       endpoint, now);
+	return registry_endpoint_accepts_work(endpoint, now) &&
+	       placement_accepts_grant(x->gateway->registry, &request, endpoint,
+				       now);
 }
 
 void gateway_replied(gateway_t *gateway, const packet_slot_reply_t *reply)
@@ -407,14 +408,14 @@
 	uint32_t index;
 	exchange_t *x = find_ticket(gateway, reply->ticket, &index);
 	pimento_usec_t now = sys_now();
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 	gateway_service_t *service;
 
 	if (!x)
 		return; /* over meanwhile, and released */
 	endpoint = x->lines[index].endpoint;
 	x->lines[index].in_line = true;
-	directory_told(endpoint, &reply->report, now);
+	registry_apply_report(endpoint, &reply->report, now);
 	if (x == gateway->asking) {
 		if (reply->granted)
 			x->given = reply->ticket; /* this host is the owner */
--- a/io/pool.c
+++ b/io/pool.c
@@ -28,7 +28,7 @@
 	*pool = (pool_t){ .loop = loop, .ops = ops };
 }
 
-static shelf_t *shelf_of(directory_endpoint_t *endpoint)
+static shelf_t *shelf_of(registry_endpoint_t *endpoint)
 {
 	if (!endpoint->connections)
 		endpoint->connections = calloc(1, sizeof(shelf_t));
@@ -37,10 +37,10 @@
 
 static void let_go(httpc_t *conn)
 {
-	directory_endpoint_t *endpoint = conn->owner;
+	registry_endpoint_t *endpoint = conn->owner;
 
 	httpc_close(conn);
-	endpoint->holders--;
+	endpoint->refs--;
 }
 
 static pimento_usec_t rest_most(const shelf_t *shelf, const httpc_t *conn)
@@ -66,7 +66,7 @@
 	return now - conn->since < most;
 }
 
-static httpc_t *take_resting(directory_endpoint_t *endpoint, bool careful,
+static httpc_t *take_resting(registry_endpoint_t *endpoint, bool careful,
 			     pimento_usec_t now)
 {
 	shelf_t *shelf = shelf_of(endpoint);
@@ -80,15 +80,15 @@
 	return conn;
 }
 
-static void forget_earlier_life(directory_endpoint_t *endpoint, shelf_t *shelf)
+static void forget_earlier_life(registry_endpoint_t *endpoint, shelf_t *shelf)
 {
-	if (shelf->life == endpoint->life)
+	if (shelf->life == endpoint->incarnation)
 		return;
 	pool_close(endpoint);
-	shelf->life = endpoint->life;
+	shelf->life = endpoint->incarnation;
 }
 
-httpc_t *pool_take(pool_t *pool, directory_endpoint_t *endpoint, bool careful,
+httpc_t *pool_take(pool_t *pool, registry_endpoint_t *endpoint, bool careful,
 		   pimento_usec_t now)
 {
 	shelf_t *shelf = shelf_of(endpoint);
@@ -108,7 +108,7 @@
 		return NULL;
 	pool->opened++;
 	conn->owner = endpoint;
-	endpoint->holders++;
+	endpoint->refs++;
 	return conn;
 }
 
@@ -123,12 +123,12 @@
 	}
 	conn->next = shelf->resting;
 	shelf->resting = conn;
-	((directory_endpoint_t *)conn->owner)->idle_connections++;
+	((registry_endpoint_t *)conn->owner)->idle_connections++;
 }
 
 void pool_over(httpc_t *conn)
 {
-	directory_endpoint_t *endpoint = conn->owner;
+	registry_endpoint_t *endpoint = conn->owner;
 	shelf_t *shelf = endpoint->connections;
 	httpc_t **at = shelf ? &shelf->resting : NULL;
 
@@ -138,7 +138,7 @@
 		*at = conn->next;
 		endpoint->idle_connections--;
 	}
-	endpoint->holders--;
+	endpoint->refs--;
 }
 
 void pool_stale(httpc_t *conn, pimento_usec_t rested)
@@ -152,7 +152,7 @@
 		shelf->trust = TRUST_LEAST;
 }
 
-void pool_sweep(directory_endpoint_t *endpoint, pimento_usec_t now)
+void pool_sweep(registry_endpoint_t *endpoint, pimento_usec_t now)
 {
 	shelf_t *shelf = endpoint->connections;
 	httpc_t **at;
@@ -174,7 +174,7 @@
 	}
 }
 
-void pool_close(directory_endpoint_t *endpoint)
+void pool_close(registry_endpoint_t *endpoint)
 {
 	shelf_t *shelf = endpoint->connections;
 
@@ -187,7 +187,7 @@
 	}
 }
 
-void pool_drop(directory_endpoint_t *endpoint)
+void pool_drop(registry_endpoint_t *endpoint)
 {
 	pool_close(endpoint);
 	free(endpoint->connections);
--- a/io/pool.h
+++ b/io/pool.h
@@ -9,7 +9,7 @@
 
 #include "httpc.h"
 
-#include "../src/directory.h"
+#include "../src/registry.h"
 
 typedef struct pool {
 	struct ev_loop *loop;
@@ -26,7 +26,7 @@
  * have closed meanwhile, for a request that may not be sent twice. The caller
  * sets conn->user. Returns NULL if none can be had.
  */
-httpc_t *pool_take(pool_t *pool, directory_endpoint_t *endpoint, bool careful,
+httpc_t *pool_take(pool_t *pool, registry_endpoint_t *endpoint, bool careful,
 		   pimento_usec_t now);
 
 /* The connection rests again, or is over; both give it back to the pool. */
@@ -37,12 +37,12 @@
 void pool_stale(httpc_t *conn, pimento_usec_t rested);
 
 /* Closes what has rested too long, or leads to an earlier life. */
-void pool_sweep(directory_endpoint_t *endpoint, pimento_usec_t now);
+void pool_sweep(registry_endpoint_t *endpoint, pimento_usec_t now);
 
 /* Closes all that rest. */
-void pool_close(directory_endpoint_t *endpoint);
+void pool_close(registry_endpoint_t *endpoint);
 
 /* The same, and frees what was kept of the endpoint, which is to be dropped. */
-void pool_drop(directory_endpoint_t *endpoint);
+void pool_drop(registry_endpoint_t *endpoint);
 
 #endif
--- a/io/relay.c
+++ b/io/relay.c
@@ -20,10 +20,10 @@
 
 static latency_service_t *pace_of(exchange_t *x)
 {
-	directory_service_t *service =
-		directory_service(x->gateway->directory, x->service->key);
+	registry_service_t *service =
+		registry_get_service(x->gateway->registry, x->service->key);
 
-	return service ? &service->pace : NULL;
+	return service ? &service->latency : NULL;
 }
 
 static void collect_fields(exchange_t *x, const head_t *head)
@@ -134,7 +134,7 @@
 	x->finding = LATENCY_OUTCOME_FAILED;
 	slots_learn(x->gateway->slots, x->endpoint, x->finding, now);
 	if (service)
-		latency_add_failure(&x->endpoint->pace, service, now);
+		latency_add_failure(&x->endpoint->latency, service, now);
 }
 
 bool relay_head(httpc_t *conn)
@@ -190,10 +190,10 @@
 	}
 	if (!service || x->status / 100 != 2)
 		return;
-	latency_add_success(&x->endpoint->pace, service);
+	latency_add_success(&x->endpoint->latency, service);
 	/* Behind a full batch the span would tell of the queue instead. */
 	if (x->load <= x->endpoint->slots)
-		latency_add_first_event(&x->endpoint->pace, service,
+		latency_add_first_event(&x->endpoint->latency, service,
 					now - x->sent_at,
 					x->call.prompt + x->ahead);
 }
@@ -205,14 +205,14 @@
 	if (x->pause_most < now - x->event_at)
 		x->pause_most = now - x->event_at;
 	if (service && events)
-		latency_add_gap(&x->endpoint->pace, service,
+		latency_add_gap(&x->endpoint->latency, service,
 				(now - x->event_at) / events);
 }
 
 static void pass_events(exchange_t *x, const char *bytes, size_t length)
 {
 	uint32_t before = x->events.count;
-	int64_t whole = events_take(&x->events, bytes, length);
+	int64_t whole = sse_feed(&x->events, bytes, length);
 	pimento_usec_t now = sys_now();
 
 	if (whole < 0) {
@@ -231,7 +231,7 @@
 	x->event_at = now;
 	placing_tell_pace(x);
 	httpd_write(x->caller, x->events.partial.bytes, (size_t)whole);
-	events_drop(&x->events, (size_t)whole);
+	sse_consume(&x->events, (size_t)whole);
 	if (sendbuf_waiting(&x->caller->sendbuf) > UNREAD_MOST)
 		httpc_hold(x->conn, true);
 }
--- a/io/slots.c
+++ b/io/slots.c
@@ -5,11 +5,11 @@
 /* A report that is older is not passed on. */
 #define RELAY_AGE (1200 * PIMENTO_MSEC)
 
-void slots_init(slots_t *slots, directory_t *directory, roster_t *roster,
+void slots_init(slots_t *slots, registry_t *registry, roster_t *roster,
 		uint32_t self)
 {
 	*slots = (slots_t){
-		.directory = directory, .roster = roster, .fd = -1, .self = self
+		.registry = registry, .roster = roster, .fd = -1, .self = self
 	};
 	grants_init(&slots->grants);
 }
@@ -31,15 +31,15 @@
 		(void)net_send_to(slots->fd, &to, bytes, (size_t)length);
 }
 
-static directory_endpoint_t *endpoint_of(const slots_t *slots, uint32_t key)
+static registry_endpoint_t *endpoint_of(const slots_t *slots, uint32_t key)
 {
-	for (uint32_t i = 0; i < slots->directory->count; i++)
-		if ((uint32_t)slots->directory->endpoints[i]->key == key)
-			return slots->directory->endpoints[i];
+	for (uint32_t i = 0; i < slots->registry->count; i++)
+		if ((uint32_t)slots->registry->endpoints[i]->key == key)
+			return slots->registry->endpoints[i];
 	return NULL;
 }
 
-static uint32_t owner_of(slots_t *slots, directory_endpoint_t *endpoint)
+static uint32_t owner_of(slots_t *slots, registry_endpoint_t *endpoint)
 {
 	uint64_t epoch = roster_changes(slots->roster) + 1;
 	uint32_t owner;
@@ -57,25 +57,26 @@
 }
 
 /* What this host, as the owner, says of an endpoint. */
-static directory_word_t word_of(const slots_t *slots,
-				const directory_endpoint_t *endpoint,
-				pimento_usec_t now)
+static registry_report_t word_of(const slots_t *slots,
+				 const registry_endpoint_t *endpoint,
+				 pimento_usec_t now)
 {
 	uint32_t key = (uint32_t)endpoint->key;
-	const directory_service_t *service =
-		directory_service(slots->directory, endpoint->service);
-	directory_word_t word = {
+	const registry_service_t *service =
+		registry_get_service(slots->registry, endpoint->service);
+	registry_report_t word = {
 		.running = grants_running(&slots->grants, key),
 		.waiting = grants_waiting(&slots->grants, key),
-		.gap_us = (uint32_t)endpoint->pace.event_gap_us,
-		.doubtful = endpoint->pace.consecutive_unreachable > 0 ||
-			    (service && latency_is_failing(&endpoint->pace,
-							   &service->pace)),
+		.event_gap_us = (uint32_t)endpoint->latency.event_gap_us,
+		.unreachable =
+			endpoint->latency.consecutive_unreachable > 0 ||
+			(service && latency_is_failing(&endpoint->latency,
+						       &service->latency)),
 	};
 
-	if (endpoint->pace.ejected_until > now)
+	if (endpoint->latency.ejected_until > now)
 		word.ejected_ms =
-			(uint32_t)((endpoint->pace.ejected_until - now) /
+			(uint32_t)((endpoint->latency.ejected_until - now) /
 				   PIMENTO_MSEC);
 	return word;
 }
@@ -84,8 +85,7 @@
 		  pimento_usec_t now)
 {
 	packet_t packet = { .kind = PACKET_SLOT_REPLY };
-	const directory_endpoint_t *endpoint =
-		endpoint_of(slots, ask->endpoint);
+	const registry_endpoint_t *endpoint = endpoint_of(slots, ask->endpoint);
 
 	packet.as.slot_reply = (packet_slot_reply_t){ .endpoint = ask->endpoint,
 						      .ticket = ask->ticket,
@@ -100,16 +100,17 @@
 
 /* Ejecting an endpoint serves nobody if its service has no other. */
 static bool has_alternative(const slots_t *slots,
-			    const directory_endpoint_t *endpoint,
+			    const registry_endpoint_t *endpoint,
 			    pimento_usec_t now)
 {
-	const directory_t *directory = slots->directory;
+	const registry_t *registry = slots->registry;
 
-	for (uint32_t i = 0; i < directory->count; i++) {
-		const directory_endpoint_t *e = directory->endpoints[i];
+	for (uint32_t i = 0; i < registry->count; i++) {
+		const registry_endpoint_t *e = registry->endpoints[i];
 
 		if (e != endpoint && e->service == endpoint->service &&
-		    directory_takes(e, now) && e->pace.ejected_until <= now)
+		    registry_endpoint_accepts_work(e, now) &&
+		    e->latency.ejected_until <= now)
 			return true;
 	}
 	return false;
@@ -117,15 +118,15 @@
 
 /* One that was not reached, or mostly fails, gets one request at a time. */
 static uint32_t places_of(const slots_t *slots,
-			  const directory_endpoint_t *endpoint,
+			  const registry_endpoint_t *endpoint,
 			  pimento_usec_t now)
 {
-	const directory_service_t *service =
-		directory_service(slots->directory, endpoint->service);
+	const registry_service_t *service =
+		registry_get_service(slots->registry, endpoint->service);
 
-	if (!service || endpoint->pace.consecutive_unreachable)
+	if (!service || endpoint->latency.consecutive_unreachable)
 		return 1;
-	if (latency_is_failing(&endpoint->pace, &service->pace) &&
+	if (latency_is_failing(&endpoint->latency, &service->latency) &&
 	    has_alternative(slots, endpoint, now))
 		return 1;
 	return placement_in_flight_limit(service, endpoint);
@@ -134,12 +135,12 @@
 /* Gives free places to those in line. */
 static void give_places(slots_t *slots, uint32_t key, pimento_usec_t now)
 {
-	const directory_endpoint_t *endpoint = endpoint_of(slots, key);
+	const registry_endpoint_t *endpoint = endpoint_of(slots, key);
 	grants_ask_t ask;
 
-	if (!endpoint || !directory_takes(endpoint, now))
+	if (!endpoint || !registry_endpoint_accepts_work(endpoint, now))
 		return;
-	if (endpoint->pace.ejected_until > now &&
+	if (endpoint->latency.ejected_until > now &&
 	    has_alternative(slots, endpoint, now))
 		return;
 	while (grants_next(&slots->grants, key, places_of(slots, endpoint, now),
@@ -166,17 +167,17 @@
 		reply(slots, ask, false, now);
 }
 
-void slots_learn(slots_t *slots, directory_endpoint_t *endpoint,
+void slots_learn(slots_t *slots, registry_endpoint_t *endpoint,
 		 latency_outcome_t finding, pimento_usec_t now)
 {
-	const directory_service_t *service =
-		directory_service(slots->directory, endpoint->service);
-	latency_model_t *pace = &endpoint->pace;
+	const registry_service_t *service =
+		registry_get_service(slots->registry, endpoint->service);
+	latency_model_t *pace = &endpoint->latency;
 	uint32_t before = pace->consecutive_unreachable;
 
 	if (!service)
 		return;
-	latency_update_ejection(pace, &service->pace, finding, now);
+	latency_update_ejection(pace, &service->latency, finding, now);
 	if (!before && pace->consecutive_unreachable)
 		trail(TRAIL_STATE, "endpoint", "left_alone",
 		      "endpoint=%s why=%s in_a_row=%u ms=%lld", endpoint->id,
@@ -190,19 +191,21 @@
 static void take_release(slots_t *slots, const packet_slot_release_t *release,
 			 pimento_usec_t now)
 {
-	directory_endpoint_t *endpoint = endpoint_of(slots, release->endpoint);
-	directory_service_t *service =
-		endpoint
-			? directory_service(slots->directory, endpoint->service)
-			: NULL;
+	registry_endpoint_t *endpoint = endpoint_of(slots, release->endpoint);
+	registry_service_t *service =
+		endpoint ? registry_get_service(slots->registry,
+						endpoint->service)
+			 : NULL;
 
 	/* what this host found out itself was learnt on the way */
 	if (service && release->address != slots->self) {
-		latency_update_failure_rate(&endpoint->pace, &service->pace,
-					    release->outcome, now);
+		latency_update_failure_rate(&endpoint->latency,
+					    &service->latency, release->outcome,
+					    now);
 		slots_learn(slots, endpoint, release->outcome, now);
 		if (release->gap_us)
-			latency_add_mean_gap(&endpoint->pace, &service->pace,
+			latency_add_mean_gap(&endpoint->latency,
+					     &service->latency,
 					     release->gap_us);
 	}
 	grants_release(&slots->grants, release->endpoint, release->address,
@@ -210,8 +213,8 @@
 	give_places(slots, release->endpoint, now);
 }
 
-void slots_ask(slots_t *slots, directory_endpoint_t *endpoint,
-	       grants_ask_t *ask, pimento_usec_t now)
+void slots_ask(slots_t *slots, registry_endpoint_t *endpoint, grants_ask_t *ask,
+	       pimento_usec_t now)
 {
 	uint32_t owner = owner_of(slots, endpoint);
 	packet_t packet = { .kind = PACKET_SLOT_REQUEST };
@@ -227,7 +230,7 @@
 	send_packet(slots, owner, &packet);
 }
 
-void slots_release(slots_t *slots, directory_endpoint_t *endpoint,
+void slots_release(slots_t *slots, registry_endpoint_t *endpoint,
 		   const packet_slot_release_t *release, pimento_usec_t now)
 {
 	uint32_t owner = owner_of(slots, endpoint);
@@ -267,18 +270,18 @@
 }
 
 /* Counts anew what is in flight, and gives what is free. */
-static void keep_endpoint(slots_t *slots, directory_endpoint_t *endpoint,
+static void keep_endpoint(slots_t *slots, registry_endpoint_t *endpoint,
 			  bool owner, pimento_usec_t now)
 {
 	uint32_t key = (uint32_t)endpoint->key;
-	directory_word_t word;
+	registry_report_t word;
 
 	grants_expire(&slots->grants, key, now);
 	if (owner) {
 		(void)grants_report(&slots->grants, key, slots->self,
 				    endpoint->running, now);
 		word = word_of(slots, endpoint, now);
-		directory_told(endpoint, &word, now);
+		registry_apply_report(endpoint, &word, now);
 	}
 	give_places(slots, key, now);
 }
@@ -287,18 +290,18 @@
  * Tells the owner what this host has in flight. That renews its grants, and
  * makes up for asks and releases that were lost or went to a former owner.
  */
-static void report(const slots_t *slots, directory_endpoint_t *endpoint,
+static void report(const slots_t *slots, registry_endpoint_t *endpoint,
 		   pimento_usec_t now)
 {
 	packet_t packet = { .kind = PACKET_RUNNING_REPORT };
 
-	if (!endpoint->running && !endpoint->reported)
+	if (!endpoint->running && !endpoint->reported_running)
 		return;
 	if (endpoint->reported_at &&
 	    now - endpoint->reported_at < GRANTS_REPORT_EVERY)
 		return;
 	endpoint->reported_at = now;
-	endpoint->reported = endpoint->running;
+	endpoint->reported_running = endpoint->running;
 	packet.as.running_report = (packet_running_report_t){
 		.endpoint = (uint32_t)endpoint->key,
 		.address = slots->self,
@@ -309,10 +312,10 @@
 
 static void say_own(slots_t *slots, roster_note_t *note, pimento_usec_t now)
 {
-	const directory_t *directory = slots->directory;
+	const registry_t *registry = slots->registry;
 
-	for (uint32_t i = 0; i < directory->count; i++) {
-		directory_endpoint_t *e = directory->endpoints[i];
+	for (uint32_t i = 0; i < registry->count; i++) {
+		registry_endpoint_t *e = registry->endpoints[i];
 		uint32_t key = (uint32_t)e->key;
 
 		if (note->owned_count == ROSTER_OWNED_MAX ||
@@ -329,22 +332,22 @@
 static void relay_others(slots_t *slots, roster_note_t *note,
 			 pimento_usec_t now)
 {
-	const directory_t *directory = slots->directory;
+	const registry_t *registry = slots->registry;
 
-	for (uint32_t i = 0; i < directory->count; i++) {
-		directory_endpoint_t *e =
-			directory->endpoints[slots->relay_turn++ %
-					     directory->count];
+	for (uint32_t i = 0; i < registry->count; i++) {
+		registry_endpoint_t *e =
+			registry->endpoints[slots->relay_turn++ %
+					    registry->count];
 
 		if (note->owned_count == ROSTER_OWNED_MAX)
 			return;
-		if (!e->told_at || now - e->told_at > RELAY_AGE ||
+		if (!e->report_at || now - e->report_at > RELAY_AGE ||
 		    owner_of(slots, e) == slots->self)
 			continue;
 		note->owned[note->owned_count++] = (roster_owned_t){
 			.endpoint = (uint32_t)e->key,
-			.age = now - e->told_at,
-			.word = e->told,
+			.age = now - e->report_at,
+			.word = e->report,
 		};
 	}
 }
@@ -359,18 +362,18 @@
 {
 	for (uint32_t i = 0; i < note->owned_count; i++) {
 		const roster_owned_t *owned = &note->owned[i];
-		directory_endpoint_t *e = endpoint_of(slots, owned->endpoint);
+		registry_endpoint_t *e = endpoint_of(slots, owned->endpoint);
 		pimento_usec_t at = now - owned->age;
 
-		if (e && at > e->told_at && owner_of(slots, e) != slots->self)
-			directory_told(e, &owned->word, at);
+		if (e && at > e->report_at && owner_of(slots, e) != slots->self)
+			registry_apply_report(e, &owned->word, at);
 	}
 }
 
 void slots_tick(slots_t *slots, pimento_usec_t now)
 {
-	for (uint32_t i = 0; i < slots->directory->count; i++) {
-		directory_endpoint_t *e = slots->directory->endpoints[i];
+	for (uint32_t i = 0; i < slots->registry->count; i++) {
+		registry_endpoint_t *e = slots->registry->endpoints[i];
 		uint32_t key = (uint32_t)e->key;
 		bool owner = owner_of(slots, e) == slots->self;
 
--- a/io/slots.h
+++ b/io/slots.h
@@ -8,13 +8,13 @@
 
 #include "net.h"
 
-#include "../src/directory.h"
+#include "../src/registry.h"
 #include "../src/packet.h"
 #include "../src/placement.h"
 
 typedef struct slots {
 	grants_t grants;
-	directory_t *directory;
+	registry_t *registry;
 	roster_t *roster;
 	int fd; /* datagrams; borrowed */
 	uint16_t port; /* of every host */
@@ -28,15 +28,15 @@
 	uint32_t relay_turn; /* of endpoints whose reports are passed on */
 } slots_t;
 
-void slots_init(slots_t *slots, directory_t *directory, roster_t *roster,
+void slots_init(slots_t *slots, registry_t *registry, roster_t *roster,
 		uint32_t self);
 void slots_finish(slots_t *slots);
 
 /* Asks the endpoint's owner; its answer comes by replied(), maybe at once. */
-void slots_ask(slots_t *slots, directory_endpoint_t *endpoint,
-	       grants_ask_t *ask, pimento_usec_t now);
+void slots_ask(slots_t *slots, registry_endpoint_t *endpoint, grants_ask_t *ask,
+	       pimento_usec_t now);
 /* The request is over; ticket, gap and failure are the caller's to fill. */
-void slots_release(slots_t *slots, directory_endpoint_t *endpoint,
+void slots_release(slots_t *slots, registry_endpoint_t *endpoint,
 		   const packet_slot_release_t *release, pimento_usec_t now);
 
 /*
@@ -56,7 +56,7 @@
  * Learns what a request has found out of an endpoint, and logs when that is
  * left alone or answers again.
  */
-void slots_learn(slots_t *slots, directory_endpoint_t *endpoint,
+void slots_learn(slots_t *slots, registry_endpoint_t *endpoint,
 		 latency_outcome_t finding, pimento_usec_t now);
 
 #endif
--- a/src/catalog.c
+++ b/src/catalog.c
@@ -16,18 +16,18 @@
 
 	if (!catalog)
 		return NULL;
-	catalog->holders = 1;
+	catalog->refs = 1;
 	catalog->version = version;
 	return catalog;
 }
 
-catalog_t *catalog_hold(catalog_t *catalog)
+catalog_t *catalog_retain(catalog_t *catalog)
 {
-	catalog->holders++;
+	catalog->refs++;
 	return catalog;
 }
 
-static void free_all(catalog_t *catalog)
+static void free_catalog(catalog_t *catalog)
 {
 	for (uint32_t i = 0; i < catalog->route_count; i++) {
 		free(catalog->routes[i].name);
@@ -50,12 +50,12 @@
 
 void catalog_release(catalog_t *catalog)
 {
-	if (catalog && --catalog->holders == 0)
-		free_all(catalog);
+	if (catalog && --catalog->refs == 0)
+		free_catalog(catalog);
 }
 
 /* Grows to powers of two, so that many routes do not cost a copy each. */
-static void *append(void *elements, uint32_t *count, size_t size)
+static void *append_element(void *elements, uint32_t *count, size_t size)
 {
 	void *grown = elements;
 
@@ -68,13 +68,14 @@
 	return grown;
 }
 
-#define APPEND(array, count)                                               \
-	do {                                                               \
-		void *grown = append((array), &(count), sizeof(*(array))); \
-		if (!grown)                                                \
-			return NULL;                                       \
-		(array) = grown;                                           \
-		return &(array)[(count)-1];                                \
+#define APPEND(array, count)                                                 \
+	do {                                                                 \
+		void *grown =                                                \
+			append_element((array), &(count), sizeof(*(array))); \
+		if (!grown)                                                  \
+			return NULL;                                         \
+		(array) = grown;                                             \
+		return &(array)[(count)-1];                                  \
 	} while (0)
 
 catalog_route_t *catalog_add_route(catalog_t *catalog)
@@ -141,7 +142,7 @@
 }
 
 /* Enters a priority into the sorted ones, the least urgent of which may go. */
-static void enter_priority(uint32_t *tiers, uint32_t *count, uint32_t priority)
+static void insert_priority(uint32_t *tiers, uint32_t *count, uint32_t priority)
 {
 	uint32_t i = 0;
 
@@ -156,13 +157,13 @@
 }
 
 /* Priorities may be any numbers; tiers count those that are in use. */
-static void set_tiers(catalog_t *catalog)
+static void assign_tiers(catalog_t *catalog)
 {
 	uint32_t tiers[CATALOG_TIERS_MAX];
 	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < catalog->route_count; i++)
-		enter_priority(tiers, &count, catalog->routes[i].priority);
+		insert_priority(tiers, &count, catalog->routes[i].priority);
 	for (uint32_t i = 0; i < catalog->route_count; i++) {
 		catalog_route_t *route = &catalog->routes[i];
 
@@ -173,9 +174,9 @@
 	}
 }
 
-void catalog_seal(catalog_t *catalog)
+void catalog_finalize(catalog_t *catalog)
 {
-	set_tiers(catalog);
+	assign_tiers(catalog);
 	if (catalog->key_count)
 		qsort(catalog->keys, catalog->key_count, sizeof(*catalog->keys),
 		      compare_keys);
@@ -194,8 +195,8 @@
 }
 
 /* The first route of a host; routes of one host stand together. */
-static uint32_t first_of_host(const catalog_t *catalog, const char *host,
-			      size_t length)
+static uint32_t first_route_of_host(const catalog_t *catalog, const char *host,
+				    size_t length)
 {
 	uint32_t low = 0;
 	uint32_t high = catalog->route_count;
@@ -212,12 +213,12 @@
 	return low;
 }
 
-const catalog_route_t *catalog_route(const catalog_t *catalog, const char *host,
-				     const char *path)
+const catalog_route_t *catalog_find_route(const catalog_t *catalog,
+					  const char *host, const char *path)
 {
 	size_t length = strcspn(host, ":");
 
-	for (uint32_t i = first_of_host(catalog, host, length);
+	for (uint32_t i = first_route_of_host(catalog, host, length);
 	     i < catalog->route_count; i++) {
 		const catalog_route_t *route = &catalog->routes[i];
 
@@ -229,8 +230,8 @@
 	return NULL;
 }
 
-const catalog_account_t *catalog_account(const catalog_t *catalog,
-					 const char *key)
+const catalog_account_t *catalog_find_account(const catalog_t *catalog,
+					      const char *key)
 {
 	catalog_key_t wanted = { .text = (char *)key };
 	const catalog_key_t *found = NULL;
@@ -241,8 +242,8 @@
 	return found ? &catalog->accounts[found->account] : NULL;
 }
 
-const catalog_service_t *catalog_service(const catalog_t *catalog,
-					 pimento_id_t key)
+const catalog_service_t *catalog_find_service(const catalog_t *catalog,
+					      pimento_id_t key)
 {
 	for (uint32_t i = 0; i < catalog->service_count; i++)
 		if (catalog->services[i].key == key)
@@ -250,7 +251,7 @@
 	return NULL;
 }
 
-pimento_id_t catalog_pick(const catalog_route_t *route, uint64_t draw)
+pimento_id_t catalog_select_service(const catalog_route_t *route, uint64_t hash)
 {
 	uint64_t total = 0;
 
@@ -258,11 +259,11 @@
 		total += route->targets[i].weight;
 	if (!total)
 		return route->target_count ? route->targets[0].service : 0;
-	draw %= total;
+	hash %= total;
 	for (uint32_t i = 0; i < route->target_count; i++) {
-		if (draw < route->targets[i].weight)
+		if (hash < route->targets[i].weight)
 			return route->targets[i].service;
-		draw -= route->targets[i].weight;
+		hash -= route->targets[i].weight;
 	}
 	return 0;
 }
--- a/src/catalog.h
+++ b/src/catalog.h
@@ -27,13 +27,15 @@
 	pimento_id_t key; /* of the name */
 	catalog_kind_t kind;
 	bool resumable;
-	bool open; /* needs no key */
+	bool allows_anonymous; /* needs no key */
 	uint32_t priority; /* 0 is the most urgent */
-	uint32_t tier; /* of the priorities in use, after catalog_seal() */
+	uint32_t tier; /* of the priorities in use, after catalog_finalize() */
 	uint32_t attempts_max; /* endpoints that one request may be sent to */
 	pimento_usec_t timeout;
-	pimento_usec_t goal; /* to the answer, or to a stream's first event */
-	pimento_usec_t gap_goal; /* longest pause between a stream's events */
+	pimento_usec_t
+		objective; /* to the answer, or to a stream's first event */
+	pimento_usec_t
+		gap_objective; /* longest pause between a stream's events */
 	catalog_target_t *targets;
 	uint32_t target_count;
 } catalog_route_t;
@@ -45,18 +47,19 @@
 	char *name;
 	pimento_id_t key;
 	uint32_t connections_max; /* of all callers together, at one endpoint */
-	bool engine; /* a model engine that answers in streams */
+	bool is_engine; /* a model engine that answers in streams */
 } catalog_service_t;
 
 typedef struct catalog_account {
 	char *name;
 	pimento_id_t key; /* of the name */
-	bool ranked; /* has a priority of its own, which goes first */
+	bool has_priority; /* has a priority of its own, which goes first */
 	uint32_t priority;
 	double tokens_per_second; /* 0: no quota */
 	double burst; /* tokens */
-	uint32_t plain_tokens; /* what a request without a size counts as */
-	bool by_request; /* the quota counts requests, not tokens */
+	uint32_t
+		default_request_tokens; /* what a request without a size counts as */
+	bool counts_requests; /* the quota counts requests, not tokens */
 } catalog_account_t;
 
 typedef struct catalog_key {
@@ -72,7 +75,7 @@
 } catalog_limits_t;
 
 typedef struct catalog {
-	uint32_t holders;
+	uint32_t refs;
 	uint64_t version;
 	catalog_route_t *routes;
 	uint32_t route_count;
@@ -80,14 +83,14 @@
 	uint32_t service_count;
 	catalog_account_t *accounts;
 	uint32_t account_count;
-	catalog_key_t *keys; /* sorted by text after catalog_seal() */
+	catalog_key_t *keys; /* sorted by text after catalog_finalize() */
 	uint32_t key_count;
 	catalog_limits_t limits;
 } catalog_t;
 
 /* An empty version with one holder. Returns NULL without memory. */
 catalog_t *catalog_new(uint64_t version);
-catalog_t *catalog_hold(catalog_t *catalog);
+catalog_t *catalog_retain(catalog_t *catalog);
 void catalog_release(catalog_t *catalog); /* NULL is allowed */
 
 /*
@@ -102,20 +105,21 @@
 int catalog_add_key(catalog_t *catalog, const char *text, uint32_t account);
 
 /* Sorts what is looked up; call once, before any lookup. */
-void catalog_seal(catalog_t *catalog);
+void catalog_finalize(catalog_t *catalog);
 
 /*
  * The route of a request: of the routes of its host, the one with the longest
  * prefix of path. host may carry a port. NULL if there is none.
  */
-const catalog_route_t *catalog_route(const catalog_t *catalog, const char *host,
-				     const char *path);
+const catalog_route_t *catalog_find_route(const catalog_t *catalog,
+					  const char *host, const char *path);
 /* The account that holds a key; NULL if none does. */
-const catalog_account_t *catalog_account(const catalog_t *catalog,
-					 const char *key);
-const catalog_service_t *catalog_service(const catalog_t *catalog,
-					 pimento_id_t key);
-/* One of the route's services, by weight; draw is a hash of the request. */
-pimento_id_t catalog_pick(const catalog_route_t *route, uint64_t draw);
+const catalog_account_t *catalog_find_account(const catalog_t *catalog,
+					      const char *key);
+const catalog_service_t *catalog_find_service(const catalog_t *catalog,
+					      pimento_id_t key);
+/* One of the route's services, by weight; hash is that of the request. */
+pimento_id_t catalog_select_service(const catalog_route_t *route,
+				    uint64_t hash);
 
 #endif
--- a/src/delta.c
+++ b/src/delta.c
@@ -16,10 +16,10 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define STEP_COPY 1
-#define STEP_NEW 0
-#define COPY_MIN 16 /* a shorter copy step saves nothing */
-#define NUMBER_MAX 10 /* bytes of a number, seven bits each */
+#define OP_COPY 1
+#define OP_INSERT 0
+#define COPY_MIN 16 /* a shorter copy op saves nothing */
+#define VARINT_BYTES_MAX 10 /* bytes of a number, seven bits each */
 
 typedef struct buffer {
 	char *bytes;
@@ -29,7 +29,7 @@
 } buffer_t;
 
 typedef struct token_table {
-	uint32_t *places; /* of tokens in the base, plus one; 0 free */
+	uint32_t *offsets; /* of tokens in the base, plus one; 0 free */
 	uint32_t mask;
 } token_table_t;
 
@@ -53,9 +53,9 @@
 	b->length += length;
 }
 
-static void append_number(buffer_t *b, uint64_t n)
+static void append_varint(buffer_t *b, uint64_t n)
 {
-	char bytes[NUMBER_MAX];
+	char bytes[VARINT_BYTES_MAX];
 	size_t length = 0;
 
 	while (n >= 0x80) {
@@ -66,7 +66,7 @@
 	append(b, bytes, length);
 }
 
-static bool read_number(const char **at, const char *end, uint64_t *n)
+static bool read_varint(const char **at, const char *end, uint64_t *n)
 {
 	*n = 0;
 	for (unsigned int shift = 0; *at < end && shift < 63; shift += 7) {
@@ -89,21 +89,23 @@
 }
 
 /* The place of an equal token of the base, or the free one where it belongs. */
-static uint32_t *table_slot(const token_table_t *table, const char *base,
-			    size_t base_length, const char *token, size_t n)
+static uint32_t *token_table_find(const token_table_t *table, const char *base,
+				  size_t base_length, const char *token,
+				  size_t n)
 {
 	uint32_t i = (uint32_t)XXH3_64bits(token, n) & table->mask;
 
-	for (; table->places[i]; i = (i + 1) & table->mask) {
-		size_t held = table->places[i] - 1;
+	for (; table->offsets[i]; i = (i + 1) & table->mask) {
+		size_t held = table->offsets[i] - 1;
 
 		if (base_length - held >= n && !memcmp(base + held, token, n))
 			break;
 	}
-	return &table->places[i];
+	return &table->offsets[i];
 }
 
-static int table_init(token_table_t *table, const char *base, size_t length)
+static int token_table_init(token_table_t *table, const char *base,
+			    size_t length)
 {
 	size_t tokens = 1;
 	uint32_t size = 16;
@@ -113,12 +115,13 @@
 	while (size < 2 * tokens)
 		size *= 2;
 	table->mask = size - 1;
-	table->places = calloc(size, sizeof(*table->places));
-	if (!table->places)
+	table->offsets = calloc(size, sizeof(*table->offsets));
+	if (!table->offsets)
 		return PIMENTO_ENOMEM;
 	for (size_t at = 0; at < length;) {
 		size_t n = token_length(base + at, length - at);
-		uint32_t *slot = table_slot(table, base, length, base + at, n);
+		uint32_t *slot =
+			token_table_find(table, base, length, base + at, n);
 
 		/* Equal tokens keep their first place only. */
 		if (!*slot)
@@ -128,8 +131,8 @@
 	return PIMENTO_OK;
 }
 
-static size_t common(const char *a, size_t a_length, const char *b,
-		     size_t b_length)
+static size_t common_prefix(const char *a, size_t a_length, const char *b,
+			    size_t b_length)
 {
 	size_t n = 0;
 
@@ -138,18 +141,18 @@
 	return n;
 }
 
-static void step_new(buffer_t *b, const char *bytes, size_t length)
+static void emit_insert(buffer_t *b, const char *bytes, size_t length)
 {
 	if (!length)
 		return;
-	append_number(b, (uint64_t)length << 1 | STEP_NEW);
+	append_varint(b, (uint64_t)length << 1 | OP_INSERT);
 	append(b, bytes, length);
 }
 
-static void step_copy(buffer_t *b, size_t from, size_t length)
+static void emit_copy(buffer_t *b, size_t from, size_t length)
 {
-	append_number(b, (uint64_t)length << 1 | STEP_COPY);
-	append_number(b, from);
+	append_varint(b, (uint64_t)length << 1 | OP_COPY);
+	append_varint(b, from);
 }
 
 /*
@@ -161,30 +164,30 @@
 			size_t expected, size_t *from)
 {
 	size_t n = token_length(text, length);
-	size_t best =
-		common(base + expected, base_length - expected, text, length);
-	uint32_t place;
+	size_t best = common_prefix(base + expected, base_length - expected,
+				    text, length);
+	uint32_t offset;
 	size_t found;
 
 	*from = expected;
 	if (best >= COPY_MIN)
 		return best;
-	place = *table_slot(table, base, base_length, text, n);
-	if (!place)
+	offset = *token_table_find(table, base, base_length, text, n);
+	if (!offset)
 		return best;
-	found = common(base + place - 1, base_length - (place - 1), text,
-		       length);
+	found = common_prefix(base + offset - 1, base_length - (offset - 1),
+			      text, length);
 	if (found <= best)
 		return best;
-	*from = place - 1;
+	*from = offset - 1;
 	return found;
 }
 
-static void make_steps(buffer_t *out, const token_table_t *table,
-		       const char *base, size_t base_length, const char *text,
-		       size_t length)
+static void emit_ops(buffer_t *out, const token_table_t *table,
+		     const char *base, size_t base_length, const char *text,
+		     size_t length)
 {
-	size_t fresh = 0; /* start of what is not yet written */
+	size_t pending = 0; /* start of what is not yet written */
 	size_t expected = 0;
 	size_t at = 0;
 
@@ -200,27 +203,27 @@
 			at += n;
 			continue;
 		}
-		step_new(out, text + fresh, at - fresh);
-		step_copy(out, from, n);
+		emit_insert(out, text + pending, at - pending);
+		emit_copy(out, from, n);
 		at += n;
-		fresh = at;
+		pending = at;
 		expected = from + n;
 	}
-	step_new(out, text + fresh, length - fresh);
+	emit_insert(out, text + pending, length - pending);
 }
 
-int delta_make(const char *base, size_t base_length, const char *text,
-	       size_t length, char **delta, size_t *delta_length)
+int delta_create(const char *base, size_t base_length, const char *text,
+		 size_t length, char **delta, size_t *delta_length)
 {
 	buffer_t out = { 0 };
 	token_table_t table;
-	int error = table_init(&table, base, base_length);
+	int error = token_table_init(&table, base, base_length);
 
 	if (error)
 		return error;
 	append(&out, "", 0);
-	make_steps(&out, &table, base, base_length, text, length);
-	free(table.places);
+	emit_ops(&out, &table, base, base_length, text, length);
+	free(table.offsets);
 	if (out.failed) {
 		free(out.bytes);
 		return PIMENTO_ENOMEM;
@@ -230,27 +233,27 @@
 	return PIMENTO_OK;
 }
 
-static int apply_step(buffer_t *out, const char *base, size_t base_length,
-		      const char **at, const char *end, size_t max)
+static int apply_op(buffer_t *out, const char *base, size_t base_length,
+		    const char **at, const char *end, size_t max)
 {
-	uint64_t step;
+	uint64_t op;
 	uint64_t from;
 
-	if (!read_number(at, end, &step))
+	if (!read_varint(at, end, &op))
 		return PIMENTO_EPARSE;
-	if (step >> 1 > max - out->length)
+	if (op >> 1 > max - out->length)
 		return PIMENTO_ETOOBIG;
-	if ((step & 1) == STEP_NEW) {
-		if (step >> 1 > (uint64_t)(end - *at))
+	if ((op & 1) == OP_INSERT) {
+		if (op >> 1 > (uint64_t)(end - *at))
 			return PIMENTO_EPARSE;
-		append(out, *at, step >> 1);
-		*at += step >> 1;
+		append(out, *at, op >> 1);
+		*at += op >> 1;
 		return PIMENTO_OK;
 	}
-	if (!read_number(at, end, &from) || from > base_length ||
-	    step >> 1 > base_length - from)
+	if (!read_varint(at, end, &from) || from > base_length ||
+	    op >> 1 > base_length - from)
 		return PIMENTO_EPARSE;
-	append(out, base + from, step >> 1);
+	append(out, base + from, op >> 1);
 	return PIMENTO_OK;
 }
 
@@ -263,7 +266,7 @@
 
 	append(&out, "", 0);
 	while (!error && delta < end)
-		error = apply_step(&out, base, base_length, &delta, end, max);
+		error = apply_op(&out, base, base_length, &delta, end, max);
 	*length = out.length;
 	append(&out, "", 1);
 	if (!error && out.failed)
--- a/src/delta.h
+++ b/src/delta.h
@@ -14,8 +14,8 @@
  * difference may be longer than the text itself, if they have nothing in
  * common; it is the caller's to send the text then.
  */
-int delta_make(const char *base, size_t base_length, const char *text,
-	       size_t length, char **delta, size_t *delta_length);
+int delta_create(const char *base, size_t base_length, const char *text,
+		 size_t length, char **delta, size_t *delta_length);
 
 /*
  * Sets *text to what delta makes of base, NUL-terminated. Returns 0,
--- a/src/edge_settings.c
+++ b/src/edge_settings.c
@@ -13,11 +13,12 @@
 	}
 
 /* Fractions too: the platform states some of its bounds as such. */
-#define NUMBER(key, member, min)                                              \
-	{                                                                     \
-		key, FIELD_FRACTION, false, AT(member), min, NUMBER_MAX, NULL \
+#define NUMBER(key, member, min)                                               \
+	{                                                                      \
+		key, FIELD_FRACTION, false, AT(member), min, VARINT_BYTES_MAX, \
+			NULL                                                   \
 	}
-#define NUMBER_MAX 1000000000
+#define VARINT_BYTES_MAX 1000000000
 
 /* Values where the platform states none. */
 #define MEMORY_MB_DEFAULT 256
--- a/src/endpoint.c
+++ b/src/endpoint.c
@@ -11,24 +11,29 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define ROOM_PART 8 /* one slot in so many is kept for more urgent tiers */
-#define ROOM_WAIT (100 * PIMENTO_MSEC) /* for a slot, that needs no room */
-#define PREFILL_SPAN (300 * PIMENTO_MSEC) /* prompts that may queue there */
+#define URGENT_RESERVE_DIVISOR \
+	8 /* one slot in so many is kept for more urgent tiers */
+#define URGENT_RESERVE_WAIT_MIN \
+	(100 * PIMENTO_MSEC) /* for a slot, that needs no reserve */
+#define PREFILL_QUEUE_MAX \
+	(300 * PIMENTO_MSEC) /* prompts that may queue there */
 /* A prompt may use up so small a part of the slack of answers in progress. */
-#define SLACK 2.0
+#define PREFILL_SLACK_FACTOR 2.0
 /*
  * An answer takes so much longer beside prompts that are read meanwhile. If it
  * were granted with less time left, no prompt could be let in beside it, and
  * the engine would make few answers at once, which is the costly way.
  */
-#define SHARING 2.5
+#define BATCHED_DECODE_SLOWDOWN 2.5
 /* Half of a service's answers take longer than the mean. */
-#define MARGIN 1.25
-#define ESTIMATE_PART 10 /* of an estimate, still to come when it is reached */
-#define FULL_SPAN (1500 * PIMENTO_MSEC) /* until the next word is due */
-#define FULL_WAIT (5 * PIMENTO_SEC) /* a guess: until some answer ends */
-#define PEAK_SPAN (30 * PIMENTO_SEC)
-#define FOREIGN_SPAN (10 * PIMENTO_SEC)
+#define SERVICE_TIME_MARGIN 1.25
+#define REMAINING_TOKENS_DIVISOR \
+	10 /* of an estimate, still to come when it is reached */
+#define FULL_HOLD_TIME (1500 * PIMENTO_MSEC) /* until the next word is due */
+#define FULL_WAIT_ESTIMATE \
+	(5 * PIMENTO_SEC) /* a guess: until some answer ends */
+#define PEAK_WINDOW (30 * PIMENTO_SEC)
+#define EXTERNAL_RUNNING_TTL (10 * PIMENTO_SEC)
 
 owner_endpoint_t *endpoint_new(const config_endpoint_t *description,
 			       uint64_t epoch, double weight)
@@ -37,7 +42,7 @@
 
 	if (!e)
 		return NULL;
-	e->description = *description;
+	e->config = *description;
 	e->epoch = epoch;
 	e->weight = weight;
 	queue_init(&e->queue);
@@ -51,13 +56,13 @@
 	free(e);
 }
 
-bool endpoint_alike(const owner_endpoint_t *a, const owner_endpoint_t *b)
+bool endpoint_same_target(const owner_endpoint_t *a, const owner_endpoint_t *b)
 {
-	return a->description.target == b->description.target &&
-	       !strcmp(a->description.target_name, b->description.target_name);
+	return a->config.target == b->config.target &&
+	       !strcmp(a->config.target_name, b->config.target_name);
 }
 
-static uint32_t share(const owner_endpoint_t *e)
+static uint32_t slot_share(const owner_endpoint_t *e)
 {
 	uint32_t all = limit_requests(&e->limit);
 	uint32_t part = (uint32_t)(all * e->weight);
@@ -65,59 +70,61 @@
 	return part ? part : 1;
 }
 
-static uint32_t foreign(const owner_endpoint_t *e, pimento_usec_t now)
+static uint32_t external_running(const owner_endpoint_t *e, pimento_usec_t now)
 {
-	return now < e->foreign_until ? e->foreign : 0;
+	return now < e->external_running_until ? e->external_running : 0;
 }
 
 /* Until the first of the slots in use is free again. */
-static pimento_usec_t next_slot(const owner_endpoint_t *e)
+static pimento_usec_t next_slot_wait(const owner_endpoint_t *e)
 {
 	uint32_t mean = (uint32_t)(e->running_tokens / e->running);
 
 	return limit_service(&e->limit, 0, 0, mean) / e->running;
 }
 
-uint32_t endpoint_slots(const owner_endpoint_t *e, pimento_usec_t now,
-			uint8_t tier)
+uint32_t endpoint_tier_slots(const owner_endpoint_t *e, pimento_usec_t now,
+			     uint8_t tier)
 {
-	uint32_t slots = share(e);
+	uint32_t slots = slot_share(e);
 	uint32_t free_of_others = limit_requests(&e->limit);
-	uint32_t others = foreign(e, now);
-	uint32_t room;
+	uint32_t others = external_running(e, now);
+	uint32_t reserved;
 
 	free_of_others = free_of_others > others ? free_of_others - others : 0;
 	if (slots > free_of_others)
 		slots = free_of_others;
 	if (!slots)
 		slots = 1;
-	if (!tier || slots < 2 || !e->running || next_slot(e) < ROOM_WAIT)
+	if (!tier || slots < 2 || !e->running ||
+	    next_slot_wait(e) < URGENT_RESERVE_WAIT_MIN)
 		return slots;
-	room = slots / ROOM_PART;
-	return slots - (room ? room : 1);
+	reserved = slots / URGENT_RESERVE_DIVISOR;
+	return slots - (reserved ? reserved : 1);
 }
 
-static uint64_t tokens_of(const reservation_t *r)
+static uint64_t request_tokens(const reservation_t *r)
 {
 	return (uint64_t)r->asked.prompt_tokens + r->asked.answer_tokens;
 }
 
-/* Of two owners on the sides of a cut each fills only its share. */
-static uint64_t whole(const owner_endpoint_t *e, uint64_t tokens)
+/* Of two owners on the sides of a cut each fills only its slot_share. */
+static uint64_t scale_by_weight(const owner_endpoint_t *e, uint64_t tokens)
 {
 	return (uint64_t)((double)tokens / e->weight);
 }
 
 limit_load_t endpoint_load(const owner_endpoint_t *e)
 {
-	limit_load_t load = { e->running, whole(e, e->flight_tokens) };
+	limit_load_t load = { e->running,
+			      scale_by_weight(e, e->in_flight_tokens) };
 
 	return load;
 }
 
-static uint32_t tokens_left(const reservation_t *r)
+static uint32_t remaining_tokens(const reservation_t *r)
 {
-	uint32_t least = r->asked.answer_tokens / ESTIMATE_PART;
+	uint32_t least = r->asked.answer_tokens / REMAINING_TOKENS_DIVISOR;
 
 	if (r->answered + least >= r->asked.answer_tokens)
 		return least;
@@ -129,16 +136,17 @@
  * let in puts off all answers in progress. One prompt after another would keep
  * them from ever being done in time; an answer's slack says how much it bears.
  */
-static bool slack_suffices(const owner_endpoint_t *e, pimento_usec_t now,
-			   uint8_t tier, pimento_usec_t reading)
+static bool slack_allows_prefill(const owner_endpoint_t *e, pimento_usec_t now,
+				 uint8_t tier, pimento_usec_t reading)
 {
-	for (const reservation_t *r = e->flight; r; r = r->older) {
+	for (const reservation_t *r = e->in_flight; r; r = r->older) {
 		pimento_usec_t left = r->item.deadline - now;
 
 		if (!r->item.deadline || r->item.tier > tier)
 			continue;
-		left -= limit_making(&e->limit, tokens_left(r));
-		if (left > 0 && (double)left < (double)reading * SLACK)
+		left -= limit_making(&e->limit, remaining_tokens(r));
+		if (left > 0 &&
+		    (double)left < (double)reading * PREFILL_SLACK_FACTOR)
 			return false;
 	}
 	return true;
@@ -151,29 +159,31 @@
 
 	if (!r->item.tier || !prompt)
 		return true;
-	if (limit_reading(&e->limit, e->prefilling, 0) > PREFILL_SPAN)
+	if (limit_reading(&e->limit, e->prefill_tokens, 0) > PREFILL_QUEUE_MAX)
 		return false;
-	return slack_suffices(e, now, r->item.tier,
-			      limit_reading(&e->limit, e->prefilling, prompt));
+	return slack_allows_prefill(
+		e, now, r->item.tier,
+		limit_reading(&e->limit, e->prefill_tokens, prompt));
 }
 
 bool endpoint_fits(const owner_endpoint_t *e, pimento_usec_t now,
 		   const reservation_t *r)
 {
-	if (e->leaving || now < e->full_until)
+	if (e->leaving || now < e->memory_full_until)
 		return false;
-	if (e->running >= endpoint_slots(e, now, r->item.tier))
+	if (e->running >= endpoint_tier_slots(e, now, r->item.tier))
 		return false;
 	if (r->item.tier && e->running &&
 	    !limit_tokens_fit(&e->limit,
-			      whole(e, e->flight_tokens + tokens_of(r))))
+			      scale_by_weight(e, e->in_flight_tokens +
+							 request_tokens(r))))
 		return false;
 	return prefill_fits(e, now, r);
 }
 
-bool endpoint_measured(const owner_endpoint_t *e)
+bool endpoint_speed_measured(const owner_endpoint_t *e)
 {
-	if (e->description.target == CONFIG_TARGET_SERVICE)
+	if (e->config.target == CONFIG_TARGET_SERVICE)
 		return e->limit.served > 0;
 	return limit_decode_rate(&e->limit) > 0;
 }
@@ -183,95 +193,96 @@
  * every caller wants more than the guess allows refuses them all as too late,
  * and never learns that it is faster.
  */
-pimento_usec_t endpoint_service(const owner_endpoint_t *e,
-				const message_reserve_t *asked)
+pimento_usec_t endpoint_service_time(const owner_endpoint_t *e,
+				     const message_reserve_t *asked)
 {
 	const limit_t *limit = &e->limit;
 	double span = 0;
 
-	if (e->description.target == CONFIG_TARGET_SERVICE)
-		return endpoint_measured(e)
-			       ? (pimento_usec_t)(MARGIN *
+	if (e->config.target == CONFIG_TARGET_SERVICE)
+		return endpoint_speed_measured(e)
+			       ? (pimento_usec_t)(SERVICE_TIME_MARGIN *
 						  limit_service(limit, 0, 0, 0))
 			       : 0;
 	if (limit_prefill_rate(limit) > 0)
-		span += (double)limit_reading(limit, e->prefilling,
+		span += (double)limit_reading(limit, e->prefill_tokens,
 					      asked->prompt_tokens);
 	if (limit_decode_rate(limit) > 0)
 		span += (double)limit_making(limit, asked->answer_tokens) *
-			SHARING;
+			BATCHED_DECODE_SLOWDOWN;
 	return (pimento_usec_t)span;
 }
 
-pimento_usec_t endpoint_work(const owner_endpoint_t *e,
-			     const message_reserve_t *asked)
+pimento_usec_t endpoint_busy_time(const owner_endpoint_t *e,
+				  const message_reserve_t *asked)
 {
 	return limit_work(&e->limit, asked->prompt_tokens,
 			  asked->answer_tokens);
 }
 
-pimento_usec_t endpoint_wait(const owner_endpoint_t *e, pimento_usec_t now,
-			     uint8_t tier)
+pimento_usec_t endpoint_wait_time(const owner_endpoint_t *e, pimento_usec_t now,
+				  uint8_t tier)
 {
 	pimento_usec_t wait = queue_work(&e->queue, tier);
 
-	if (now < e->full_until)
-		wait += FULL_WAIT;
+	if (now < e->memory_full_until)
+		wait += FULL_WAIT_ESTIMATE;
 	if (tier)
-		wait += limit_reading(&e->limit, e->prefilling, 0);
-	if (e->running && e->running >= endpoint_slots(e, now, tier))
-		wait += next_slot(e);
+		wait += limit_reading(&e->limit, e->prefill_tokens, 0);
+	if (e->running && e->running >= endpoint_tier_slots(e, now, tier))
+		wait += next_slot_wait(e);
 	return wait;
 }
 
-static void peak_note(owner_endpoint_t *e, pimento_usec_t now)
+static void update_peak(owner_endpoint_t *e, pimento_usec_t now)
 {
-	if (now - e->peak_since > PEAK_SPAN) {
-		e->peak_before = e->peak;
+	if (now - e->peak_window_start > PEAK_WINDOW) {
+		e->previous_peak = e->peak;
 		e->peak = 0;
-		e->peak_since = now;
+		e->peak_window_start = now;
 	}
 	if (e->running > e->peak)
 		e->peak = e->running;
 }
 
-void endpoint_start(owner_endpoint_t *e, pimento_usec_t now, reservation_t *r)
+void endpoint_add_reservation(owner_endpoint_t *e, pimento_usec_t now,
+			      reservation_t *r)
 {
-	r->ahead = e->prefilling;
+	r->ahead = e->prefill_tokens;
 	r->granted = now;
 	r->newer = NULL;
-	r->older = e->flight;
-	if (e->flight)
-		e->flight->newer = r;
-	e->flight = r;
+	r->older = e->in_flight;
+	if (e->in_flight)
+		e->in_flight->newer = r;
+	e->in_flight = r;
 	e->running++;
 	e->running_tokens += r->asked.answer_tokens;
-	e->flight_tokens += tokens_of(r);
+	e->in_flight_tokens += request_tokens(r);
 	if (!r->first_token)
-		e->prefilling += r->asked.prompt_tokens;
-	peak_note(e, now);
+		e->prefill_tokens += r->asked.prompt_tokens;
+	update_peak(e, now);
 }
 
-void endpoint_stop(owner_endpoint_t *e, reservation_t *r)
+void endpoint_remove_reservation(owner_endpoint_t *e, reservation_t *r)
 {
-	endpoint_read(e, r);
+	endpoint_prefill_done(e, r);
 	if (r->older)
 		r->older->newer = r->newer;
 	if (r->newer)
 		r->newer->older = r->older;
 	else
-		e->flight = r->older;
+		e->in_flight = r->older;
 	e->running--;
-	e->running_tokens -= tokens_left(r);
-	e->flight_tokens -= tokens_of(r);
+	e->running_tokens -= remaining_tokens(r);
+	e->in_flight_tokens -= request_tokens(r);
 }
 
-void endpoint_read(owner_endpoint_t *e, reservation_t *r)
+void endpoint_prefill_done(owner_endpoint_t *e, reservation_t *r)
 {
 	if (r->first_token)
 		return;
 	r->first_token = true;
-	e->prefilling -= r->asked.prompt_tokens;
+	e->prefill_tokens -= r->asked.prompt_tokens;
 }
 
 /*
@@ -280,51 +291,53 @@
  * without a first token long after its prompt should have been read. Until
  * that one has it, others are better off elsewhere.
  */
-void endpoint_silent(owner_endpoint_t *e, pimento_usec_t now,
-		     const reservation_t *r)
+void endpoint_check_first_token(owner_endpoint_t *e, pimento_usec_t now,
+				const reservation_t *r)
 {
 	limit_load_t load = endpoint_load(e);
 
-	if (e->description.target != CONFIG_TARGET_MODEL || r->first_token)
+	if (e->config.target != CONFIG_TARGET_MODEL || r->first_token)
 		return;
 	if (limit_silent(&e->limit, now, r->ahead + r->asked.prompt_tokens,
 			 now - r->granted, &load))
-		e->full_until = now + FULL_SPAN;
+		e->memory_full_until = now + FULL_HOLD_TIME;
 }
 
-void endpoint_made(owner_endpoint_t *e, reservation_t *r, uint32_t answered)
+void endpoint_update_answered(owner_endpoint_t *e, reservation_t *r,
+			      uint32_t answered)
 {
-	e->running_tokens -= tokens_left(r);
+	e->running_tokens -= remaining_tokens(r);
 	r->answered = answered;
-	e->running_tokens += tokens_left(r);
+	e->running_tokens += remaining_tokens(r);
 }
 
-void endpoint_report(owner_endpoint_t *e, pimento_usec_t now,
-		     const load_report_t *report)
+void endpoint_apply_load_report(owner_endpoint_t *e, pimento_usec_t now,
+				const load_report_t *report)
 {
-	uint32_t known = e->peak > e->peak_before ? e->peak : e->peak_before;
+	uint32_t known =
+		e->peak > e->previous_peak ? e->peak : e->previous_peak;
 	uint32_t seen = report->running + report->waiting;
 
-	e->foreign = seen > known ? seen - known : 0;
-	e->foreign_until = now + FOREIGN_SPAN;
+	e->external_running = seen > known ? seen - known : 0;
+	e->external_running_until = now + EXTERNAL_RUNNING_TTL;
 }
 
-void endpoint_summary(const owner_endpoint_t *e, pimento_usec_t now,
-		      message_summary_t *summary)
+void endpoint_fill_summary(const owner_endpoint_t *e, pimento_usec_t now,
+			   message_summary_t *summary)
 {
 	memset(summary, 0, sizeof(*summary));
-	summary->endpoint = e->description.id;
+	summary->endpoint = e->config.id;
 	summary->epoch = e->epoch;
 	summary->running = e->running;
-	summary->limit = endpoint_slots(e, now, 0);
+	summary->limit = endpoint_tier_slots(e, now, 0);
 	summary->running_tokens = (uint32_t)e->running_tokens;
 	summary->token_limit = (uint32_t)e->limit.tokens;
 	for (uint8_t i = 0; i < PIMENTO_TIERS_MAX; i++) {
 		summary->waiting[i] = e->queue.tiers[i].count;
-		summary->wait_ms[i] =
-			(uint32_t)(endpoint_wait(e, now, i) / PIMENTO_MSEC);
+		summary->wait_ms[i] = (uint32_t)(endpoint_wait_time(e, now, i) /
+						 PIMENTO_MSEC);
 	}
-	summary->waiting_tokens = e->prefilling;
+	summary->waiting_tokens = e->prefill_tokens;
 	summary->prefill_rate = (float)limit_prefill_rate(&e->limit);
 	summary->decode_rate = (float)limit_decode_rate(&e->limit);
 	if (e->limit.service > 0) /* a service: answers a second */
--- a/src/heap.c
+++ b/src/heap.c
@@ -9,17 +9,17 @@
 
 #include <stdlib.h>
 
-#define HEAP_FIRST_SIZE 16
+#define HEAP_INITIAL_CAPACITY 16
 
-static uint32_t *place_of(const heap_t *heap, void *item)
+static uint32_t *item_index(const heap_t *heap, void *item)
 {
-	return (uint32_t *)(void *)((char *)item + heap->place);
+	return (uint32_t *)(void *)((char *)item + heap->index_offset);
 }
 
-static void set(heap_t *heap, uint32_t i, heap_entry_t entry)
+static void set_entry(heap_t *heap, uint32_t i, heap_entry_t entry)
 {
 	heap->entries[i] = entry;
-	*place_of(heap, entry.item) = i;
+	*item_index(heap, entry.item) = i;
 }
 
 static void sift_up(heap_t *heap, uint32_t i)
@@ -31,10 +31,10 @@
 
 		if (heap->entries[parent].key <= entry.key)
 			break;
-		set(heap, i, heap->entries[parent]);
+		set_entry(heap, i, heap->entries[parent]);
 		i = parent;
 	}
-	set(heap, i, entry);
+	set_entry(heap, i, entry);
 }
 
 static void sift_down(heap_t *heap, uint32_t i)
@@ -51,69 +51,70 @@
 			child++;
 		if (heap->entries[child].key >= entry.key)
 			break;
-		set(heap, i, heap->entries[child]);
+		set_entry(heap, i, heap->entries[child]);
 		i = child;
 	}
-	set(heap, i, entry);
+	set_entry(heap, i, entry);
 }
 
-void heap_init(heap_t *heap, size_t place)
+void heap_init(heap_t *heap, size_t index_offset)
 {
 	heap->entries = NULL;
 	heap->count = 0;
-	heap->size = 0;
-	heap->place = place;
+	heap->capacity = 0;
+	heap->index_offset = index_offset;
 }
 
 void heap_finish(heap_t *heap)
 {
 	free(heap->entries);
-	heap_init(heap, heap->place);
+	heap_init(heap, heap->index_offset);
 }
 
 static int grow(heap_t *heap)
 {
-	uint32_t size = heap->size ? heap->size * 2 : HEAP_FIRST_SIZE;
+	uint32_t size =
+		heap->capacity ? heap->capacity * 2 : HEAP_INITIAL_CAPACITY;
 	heap_entry_t *entries =
 		realloc(heap->entries, size * sizeof(*heap->entries));
 
 	if (!entries)
 		return PIMENTO_ENOMEM;
 	heap->entries = entries;
-	heap->size = size;
+	heap->capacity = size;
 	return 0;
 }
 
 int heap_put(heap_t *heap, void *item, int64_t key)
 {
-	uint32_t i = *place_of(heap, item);
+	uint32_t i = *item_index(heap, item);
 
 	if (i == HEAP_ABSENT) {
-		if (heap->count == heap->size && grow(heap))
+		if (heap->count == heap->capacity && grow(heap))
 			return PIMENTO_ENOMEM;
 		i = heap->count++;
 		heap->entries[i].item = item;
 	}
 	heap->entries[i].key = key;
 	sift_up(heap, i);
-	sift_down(heap, *place_of(heap, item));
+	sift_down(heap, *item_index(heap, item));
 	return 0;
 }
 
 void heap_remove(heap_t *heap, void *item)
 {
-	uint32_t i = *place_of(heap, item);
+	uint32_t i = *item_index(heap, item);
 	heap_entry_t last;
 
 	if (i == HEAP_ABSENT)
 		return;
-	*place_of(heap, item) = HEAP_ABSENT;
+	*item_index(heap, item) = HEAP_ABSENT;
 	last = heap->entries[--heap->count];
 	if (i == heap->count)
 		return;
-	set(heap, i, last);
+	set_entry(heap, i, last);
 	sift_up(heap, i);
-	sift_down(heap, *place_of(heap, last.item));
+	sift_down(heap, *item_index(heap, last.item));
 }
 
 void *heap_top(const heap_t *heap)
--- a/src/heap.h
+++ b/src/heap.h
@@ -20,11 +20,11 @@
 typedef struct heap {
 	heap_entry_t *entries;
 	uint32_t count;
-	uint32_t size;
-	size_t place; /* offset of the item's place */
+	uint32_t capacity;
+	size_t index_offset; /* offset of the item's place */
 } heap_t;
 
-void heap_init(heap_t *heap, size_t place);
+void heap_init(heap_t *heap, size_t index_offset);
 void heap_finish(heap_t *heap);
 
 /*
--- a/src/hostlist.c
+++ b/src/hostlist.c
@@ -17,8 +17,8 @@
 
 #define FILE_NAME "hosts"
 
-static void host_problem(problems_t *problems, size_t index, const char *key,
-			 const char *reason)
+static void add_host_problem(problems_t *problems, size_t index,
+			     const char *key, const char *reason)
 {
 	char path[64];
 
@@ -77,21 +77,22 @@
 		      problems_t *problems)
 {
 	if (!copy_name(host, "name", to->name))
-		host_problem(problems, index, "name", "must be a name");
+		add_host_problem(problems, index, "name", "must be a name");
 	if (!copy_name(host, "datacentre", to->datacentre))
-		host_problem(problems, index, "datacentre", "must be a name");
+		add_host_problem(problems, index, "datacentre",
+				 "must be a name");
 	if (!copy_address(host, to))
-		host_problem(problems, index, "address",
-			     "must be an IP number");
+		add_host_problem(problems, index, "address",
+				 "must be an IP number");
 	if (!copy_port(host, to))
-		host_problem(problems, index, "port",
-			     "must lie between 1 and 65535");
+		add_host_problem(problems, index, "port",
+				 "must lie between 1 and 65535");
 	if (!copy_choice(host, "role", "entry", "endpoint", &to->endpoint))
-		host_problem(problems, index, "role",
-			     "must be \"entry\" or \"endpoint\"");
+		add_host_problem(problems, index, "role",
+				 "must be \"entry\" or \"endpoint\"");
 	if (!copy_choice(host, "state", "live", "leaving", &to->leaving))
-		host_problem(problems, index, "state",
-			     "must be \"live\" or \"leaving\"");
+		add_host_problem(problems, index, "state",
+				 "must be \"live\" or \"leaving\"");
 	to->id = pimento_id(to->name);
 }
 
@@ -103,7 +104,7 @@
 	return (a > b) - (a < b);
 }
 
-static int check_names(const hostlist_t *list, problems_t *problems)
+static int check_unique_names(const hostlist_t *list, problems_t *problems)
 {
 	pimento_id_t *ids = calloc((size_t)list->count + 1, sizeof(*ids));
 
@@ -132,7 +133,7 @@
 	for (size_t i = 0; i < count; i++)
 		read_host(json_array_get(hosts, i), i, &list->hosts[i],
 			  problems);
-	return check_names(list, problems);
+	return check_unique_names(list, problems);
 }
 
 static int read_list(hostlist_t *list, const json_t *root, problems_t *problems)
@@ -159,17 +160,17 @@
 int hostlist_parse(hostlist_t *list, const char *text, size_t length,
 		   problems_t *problems)
 {
-	json_error_t where;
+	json_error_t parse_error;
 	json_t *root;
 	int error;
 
 	memset(list, 0, sizeof(*list));
 	if (length > CONFIG_TEXT_MAX)
 		return PIMENTO_ETOOBIG;
-	root = json_loadb(text, length, JSON_REJECT_DUPLICATES, &where);
+	root = json_loadb(text, length, JSON_REJECT_DUPLICATES, &parse_error);
 	if (!root) {
-		problems_add(problems, FILE_NAME, where.line, "syntax", "%s",
-			     where.text);
+		problems_add(problems, FILE_NAME, parse_error.line, "syntax",
+			     "%s", parse_error.text);
 		return PIMENTO_EPARSE;
 	}
 	error = read_list(list, root, problems);
--- a/src/owner.c
+++ b/src/owner.c
@@ -34,7 +34,7 @@
 static owner_endpoint_t *find(const owner_t *owner, pimento_id_t endpoint)
 {
 	for (uint32_t i = 0; i < owner->count; i++)
-		if (owner->endpoints[i]->description.id == endpoint)
+		if (owner->endpoints[i]->config.id == endpoint)
 			return owner->endpoints[i];
 	return NULL;
 }
@@ -92,8 +92,9 @@
 
 	m.u.wait.request = r->asked.request;
 	m.u.wait.round = r->asked.round;
-	m.u.wait.expected_wait = endpoint_wait(r->endpoint, now, r->item.tier);
-	endpoint_summary(r->endpoint, now, &m.u.wait.summary);
+	m.u.wait.expected_wait =
+		endpoint_wait_time(r->endpoint, now, r->item.tier);
+	endpoint_fill_summary(r->endpoint, now, &m.u.wait.summary);
 	outbox_put(owner->out, r->entry, &m);
 }
 
@@ -106,7 +107,7 @@
 	m.u.grant.round = r->asked.round;
 	m.u.grant.epoch = r->endpoint->epoch;
 	m.u.grant.lifetime = r->due - now;
-	endpoint_summary(r->endpoint, now, &m.u.grant.summary);
+	endpoint_fill_summary(r->endpoint, now, &m.u.grant.summary);
 	outbox_put(owner->out, r->entry, &m);
 }
 
@@ -124,12 +125,13 @@
 		const owner_endpoint_t *e = owner->endpoints[i];
 		pimento_usec_t wait;
 
-		if (e == not_here || e->leaving || !endpoint_alike(e, not_here))
+		if (e == not_here || e->leaving ||
+		    !endpoint_same_target(e, not_here))
 			continue;
-		wait = endpoint_wait(e, now, tier);
+		wait = endpoint_wait_time(e, now, tier);
 		if (wait < best) {
 			best = wait;
-			found = e->description.id;
+			found = e->config.id;
 		}
 	}
 	return found;
@@ -138,7 +140,7 @@
 static pimento_usec_t retry_after(owner_t *owner, pimento_usec_t now,
 				  const owner_endpoint_t *e, uint8_t tier)
 {
-	pimento_usec_t wait = e ? endpoint_wait(e, now, tier) : 0;
+	pimento_usec_t wait = e ? endpoint_wait_time(e, now, tier) : 0;
 
 	if (wait < RETRY_LEAST)
 		wait = RETRY_LEAST;
@@ -163,7 +165,7 @@
 	if (e) {
 		refuse->alternative_endpoint =
 			elsewhere(owner, now, e, asked->tier);
-		endpoint_summary(e, now, &refuse->summary);
+		endpoint_fill_summary(e, now, &refuse->summary);
 	}
 	outbox_put(owner->out, to, &m);
 }
@@ -175,7 +177,7 @@
 		queue_remove(&r->endpoint->queue, &r->item);
 		owner->waiting--;
 	} else {
-		endpoint_stop(r->endpoint, r);
+		endpoint_remove_reservation(r->endpoint, r);
 	}
 	heap_remove(&owner->due, r);
 	reservation_remove(&owner->reservations, r);
@@ -199,7 +201,7 @@
 	r->state = RESERVATION_GRANTED;
 	r->due = now + OWNER_LIFETIME;
 	heap_put(&owner->due, r, r->due);
-	endpoint_start(r->endpoint, now, r);
+	endpoint_add_reservation(r->endpoint, now, r);
 	send_grant(owner, now, r);
 }
 
@@ -218,7 +220,7 @@
 		while ((r = (reservation_t *)queue_first(&e->queue, tier)) &&
 		       endpoint_fits(e, now, r))
 			grant(owner, now, r);
-		if (r && e->running >= endpoint_slots(e, now, tier))
+		if (r && e->running >= endpoint_tier_slots(e, now, tier))
 			return;
 	}
 }
@@ -230,13 +232,13 @@
 static void refuse_hopeless(owner_t *owner, pimento_usec_t now,
 			    owner_endpoint_t *e)
 {
-	if (!endpoint_measured(e))
+	if (!endpoint_speed_measured(e))
 		return;
 	for (int tier = PIMENTO_TIERS_MAX - 1; tier >= 0; tier--) {
 		reservation_t *r;
 
 		while ((r = (reservation_t *)queue_last(&e->queue, tier))) {
-			pimento_usec_t wait = endpoint_wait(e, now, tier);
+			pimento_usec_t wait = endpoint_wait_time(e, now, tier);
 
 			if (now + wait <= r->item.deadline)
 				break;
@@ -272,9 +274,9 @@
 		owner_endpoint_t *e = owner->endpoints[i];
 		int lowest;
 
-		if (!endpoint_alike(e, like))
+		if (!endpoint_same_target(e, like))
 			continue;
-		e->floor_until[tier] = now + OWNER_FLOOR;
+		e->tier_floor_until[tier] = now + OWNER_FLOOR;
 		while ((lowest = queue_lowest(&e->queue)) > tier)
 			refuse(owner, now,
 			       (reservation_t *)queue_last(&e->queue, lowest),
@@ -286,7 +288,7 @@
 			uint8_t tier)
 {
 	for (uint8_t i = 0; i < tier; i++)
-		if (now < e->floor_until[i])
+		if (now < e->tier_floor_until[i])
 			return false;
 	return true;
 }
@@ -298,7 +300,7 @@
  */
 static pimento_usec_t latest_start(const reservation_t *r)
 {
-	pimento_usec_t service = endpoint_service(r->endpoint, &r->asked);
+	pimento_usec_t service = endpoint_service_time(r->endpoint, &r->asked);
 
 	if (service < GIVE_UP_SPAN && r->asked.time_left > 2 * GIVE_UP_SPAN)
 		service = GIVE_UP_SPAN;
@@ -321,7 +323,7 @@
 	r->item.tier = asked->tier;
 	r->item.account = asked->account;
 	r->item.deadline = now + asked->time_left;
-	r->item.work = endpoint_work(e, asked);
+	r->item.work = endpoint_busy_time(e, asked);
 	r->due = latest_start(r);
 	if (heap_put(&owner->due, r, r->due) ||
 	    queue_put(&e->queue, &r->item, weight_of(owner, asked->account))) {
@@ -345,9 +347,9 @@
 		return PIMENTO_ELEAVING;
 	if (asked->hops == OWNER_HOPS_SHED)
 		return PIMENTO_EBUSY;
-	wait = endpoint_wait(e, now, asked->tier);
-	service = endpoint_service(e, asked);
-	if (endpoint_measured(e) &&
+	wait = endpoint_wait_time(e, now, asked->tier);
+	service = endpoint_service_time(e, asked);
+	if (endpoint_speed_measured(e) &&
 	    (double)wait * WAIT_MARGIN + (double)service >
 		    (double)asked->time_left)
 		return PIMENTO_ELATE;
@@ -428,7 +430,7 @@
 	limit_t *limit = &r->endpoint->limit;
 	limit_load_t load = endpoint_load(r->endpoint);
 
-	if (r->endpoint->description.target == CONFIG_TARGET_SERVICE)
+	if (r->endpoint->config.target == CONFIG_TARGET_SERVICE)
 		return;
 	if (first_token > 0 && !r->first_token)
 		limit_first_token(limit, now, r->ahead + r->asked.prompt_tokens,
@@ -458,7 +460,7 @@
 	    said->outcome != RELEASE_UNUSED) {
 		learn(r, now, said->answer_tokens, said->time_to_first_token,
 		      said->decode_time);
-		if (e->description.target == CONFIG_TARGET_SERVICE &&
+		if (e->config.target == CONFIG_TARGET_SERVICE &&
 		    said->time_to_first_token > 0)
 			limit_served(&e->limit, now,
 				     said->time_to_first_token +
@@ -500,7 +502,7 @@
 		reservation_remove(&owner->reservations, r);
 		return;
 	}
-	endpoint_start(e, now, r);
+	endpoint_add_reservation(e, now, r);
 }
 
 static void progress(owner_t *owner, pimento_usec_t now, pimento_id_t from,
@@ -519,10 +521,10 @@
 	      said->decode_time);
 	r->state = RESERVATION_RUNNING;
 	if (said->time_to_first_token > 0)
-		endpoint_read(r->endpoint, r);
+		endpoint_prefill_done(r->endpoint, r);
 	else
-		endpoint_silent(r->endpoint, now, r);
-	endpoint_made(r->endpoint, r, said->answer_tokens);
+		endpoint_check_first_token(r->endpoint, now, r);
+	endpoint_update_answered(r->endpoint, r, said->answer_tokens);
 	r->due = now + OWNER_LEASE;
 	heap_put(&owner->due, r, r->due);
 	grant_what_fits(owner, now, r->endpoint);
@@ -580,7 +582,7 @@
 	owner_endpoint_t *e = find(owner, endpoint->id);
 
 	if (e) {
-		e->description = *endpoint;
+		e->config = *endpoint;
 		e->epoch = epoch;
 		e->weight = weight;
 		limit_cap(&e->limit, endpoint->concurrency);
@@ -604,8 +606,8 @@
 		return;
 	e->leaving = true;
 	refuse_all(owner, now, e, PIMENTO_ESTALE);
-	while (e->flight)
-		discard(owner, e->flight);
+	while (e->in_flight)
+		discard(owner, e->in_flight);
 	for (uint32_t i = 0; i < owner->count; i++)
 		if (owner->endpoints[i] == e)
 			owner->endpoints[i] = owner->endpoints[--owner->count];
@@ -661,7 +663,7 @@
 		return;
 	if (report->leaving)
 		owner_leaving(owner, now, endpoint);
-	endpoint_report(e, now, report);
+	endpoint_apply_load_report(e, now, report);
 	grant_what_fits(owner, now, e);
 }
 
@@ -704,7 +706,7 @@
 
 	if (!e)
 		return PIMENTO_ENOTFOUND;
-	endpoint_summary(e, now, summary);
+	endpoint_fill_summary(e, now, summary);
 	return 0;
 }
 
@@ -717,8 +719,8 @@
 		while ((tier = queue_lowest(&e->queue)) >= 0)
 			discard(owner,
 				(reservation_t *)queue_last(&e->queue, tier));
-		while (e->flight)
-			discard(owner, e->flight);
+		while (e->in_flight)
+			discard(owner, e->in_flight);
 		owner->endpoints[0] = owner->endpoints[--owner->count];
 		endpoint_free(e);
 	}
--- a/src/packet.c
+++ b/src/packet.c
@@ -88,9 +88,9 @@
 		scratch->owned[i].endpoint = gossip->owned[i].endpoint;
 		scratch->owned[i].running = gossip->owned[i].word.running;
 		scratch->owned[i].waiting = gossip->owned[i].word.waiting;
-		scratch->owned[i].gap_us = gossip->owned[i].word.gap_us;
+		scratch->owned[i].gap_us = gossip->owned[i].word.event_gap_us;
 		scratch->owned[i].ejected_ms = gossip->owned[i].word.ejected_ms;
-		scratch->owned[i].doubtful = gossip->owned[i].word.doubtful;
+		scratch->owned[i].doubtful = gossip->owned[i].word.unreachable;
 		scratch->owned[i].age_ms =
 			(uint32_t)(gossip->owned[i].age / PIMENTO_MSEC);
 		scratch->owned_pointers[i] = &scratch->owned[i];
@@ -150,11 +150,11 @@
 	out.stamp = (uint64_t)gossip->stamp;
 	out.echo = (uint64_t)gossip->echo;
 	out.fresh_age_ms =
-		encode_age_ms(gossip->copies[MIRROR_CONFIGURATION].age);
-	out.revision = gossip->copies[MIRROR_CONFIGURATION].revision;
+		encode_age_ms(gossip->copies[REPLICA_CONFIGURATION].age);
+	out.revision = gossip->copies[REPLICA_CONFIGURATION].revision;
 	out.endpoints_age_ms =
-		encode_age_ms(gossip->copies[MIRROR_ENDPOINTS].age);
-	out.endpoints_revision = gossip->copies[MIRROR_ENDPOINTS].revision;
+		encode_age_ms(gossip->copies[REPLICA_ENDPOINTS].age);
+	out.endpoints_revision = gossip->copies[REPLICA_ENDPOINTS].revision;
 	fill_reports(&out, gossip, &scratch);
 	fill_membership(&out, gossip, &scratch);
 	message.content_case = PEER__PACKET__CONTENT_NOTE;
@@ -194,9 +194,9 @@
 	out.granted = reply->granted;
 	out.running = reply->report.running;
 	out.waiting = reply->report.waiting;
-	out.gap_us = reply->report.gap_us;
+	out.gap_us = reply->report.event_gap_us;
 	out.ejected_ms = reply->report.ejected_ms;
-	out.doubtful = reply->report.doubtful;
+	out.doubtful = reply->report.unreachable;
 	message.content_case = PEER__PACKET__CONTENT_REPLY;
 	message.reply = &out;
 	return encode(&message, bytes, size);
@@ -329,10 +329,10 @@
 		.stamp = (pimento_usec_t)message->stamp,
 		.echo = (pimento_usec_t)message->echo,
 		.copies = {
-			[MIRROR_CONFIGURATION] = {
+			[REPLICA_CONFIGURATION] = {
 				message->revision,
 				decode_age_ms(message->fresh_age_ms) },
-			[MIRROR_ENDPOINTS] = {
+			[REPLICA_ENDPOINTS] = {
 				message->endpoints_revision,
 				decode_age_ms(message->endpoints_age_ms) },
 		},
@@ -357,9 +357,9 @@
 			.age = message->owned[i]->age_ms * PIMENTO_MSEC,
 			.word = { .running = message->owned[i]->running,
 				  .waiting = message->owned[i]->waiting,
-				  .gap_us = message->owned[i]->gap_us,
+				  .event_gap_us = message->owned[i]->gap_us,
 				  .ejected_ms = message->owned[i]->ejected_ms,
-				  .doubtful =
+				  .unreachable =
 					  message->owned[i]->doubtful != 0 },
 		};
 	copy_membership(gossip, message);
@@ -389,9 +389,9 @@
 		.granted = message->granted != 0,
 		.report = { .running = message->running,
 			    .waiting = message->waiting,
-			    .gap_us = message->gap_us,
+			    .event_gap_us = message->gap_us,
 			    .ejected_ms = message->ejected_ms,
-			    .doubtful = message->doubtful != 0 },
+			    .unreachable = message->doubtful != 0 },
 	};
 }
 
--- a/src/packet.h
+++ b/src/packet.h
@@ -26,7 +26,7 @@
 	uint32_t endpoint;
 	uint64_t ticket;
 	bool granted;
-	directory_word_t report;
+	registry_report_t report;
 } packet_slot_reply_t;
 
 typedef struct packet_slot_release {
--- a/src/placement.c
+++ b/src/placement.c
@@ -41,15 +41,16 @@
 /* Used when no answer has been seen: microseconds to a first answer. */
 #define FIRST_EVENT_DEFAULT_US 50000.0
 
-uint32_t placement_in_flight_limit(const directory_service_t *service,
-				   const directory_endpoint_t *endpoint)
+uint32_t placement_in_flight_limit(const registry_service_t *service,
+				   const registry_endpoint_t *endpoint)
 {
-	return endpoint->slots + (service->plain ? PLAIN_EXTRA_IN_FLIGHT
-						 : ENGINE_EXTRA_IN_FLIGHT);
+	return endpoint->slots + (service->queues_requests
+					  ? PLAIN_EXTRA_IN_FLIGHT
+					  : ENGINE_EXTRA_IN_FLIGHT);
 }
 
-static uint32_t capacity(const directory_service_t *service,
-			 const directory_endpoint_t *endpoint,
+static uint32_t capacity(const registry_service_t *service,
+			 const registry_endpoint_t *endpoint,
 			 const placement_request_t *request)
 {
 	if (request->may_queue)
@@ -57,9 +58,9 @@
 	return placement_in_flight_limit(service, endpoint);
 }
 
-static uint32_t in_flight(const directory_endpoint_t *endpoint)
+static uint32_t in_flight(const registry_endpoint_t *endpoint)
 {
-	return endpoint->running + endpoint->elsewhere;
+	return endpoint->running + endpoint->remote_running;
 }
 
 static bool has(const pimento_id_t *keys, uint32_t count, pimento_id_t key)
@@ -95,36 +96,39 @@
 }
 
 /* Span to the first event, as the endpoint's pace and queue let expect. */
-static double expected_first_event(const directory_endpoint_t *endpoint,
-				   const directory_service_t *service,
+static double expected_first_event(const registry_endpoint_t *endpoint,
+				   const registry_service_t *service,
 				   const placement_request_t *request)
 {
-	uint32_t ahead = endpoint->reading + endpoint->reading_elsewhere;
-	double first =
-		latency_expected_first_event(&endpoint->pace, &service->pace,
-					     request->prompt_tokens + ahead);
-
-	if (!request->engine_stream && endpoint->pace.first_event_us > 0)
-		first = endpoint->pace.first_event_us;
+	uint32_t ahead = endpoint->pending_prompt_tokens +
+			 endpoint->remote_prompt_tokens;
+	double first = latency_expected_first_event(
+		&endpoint->latency, &service->latency,
+		request->prompt_tokens + ahead);
+
+	if (!request->engine_stream && endpoint->latency.first_event_us > 0)
+		first = endpoint->latency.first_event_us;
 	return first > 0 ? first : FIRST_EVENT_DEFAULT_US;
 }
 
 /* Expected span until the answer is whole. */
-static double expected_completion(const directory_endpoint_t *endpoint,
-				  const directory_service_t *service,
+static double expected_completion(const registry_endpoint_t *endpoint,
+				  const registry_service_t *service,
 				  const placement_request_t *request)
 {
 	return expected_first_event(endpoint, service, request) +
-	       latency_expected_stream_time(&endpoint->pace, &service->pace,
+	       latency_expected_stream_time(&endpoint->latency,
+					    &service->latency,
 					    request->answer_tokens);
 }
 
 /* True if a stream's pauses are expected to be short enough. */
-static bool meets_gap_objective(const directory_endpoint_t *endpoint,
-				const directory_service_t *service,
+static bool meets_gap_objective(const registry_endpoint_t *endpoint,
+				const registry_service_t *service,
 				const placement_request_t *request)
 {
-	double gap = latency_expected_gap(&endpoint->pace, &service->pace);
+	double gap =
+		latency_expected_gap(&endpoint->latency, &service->latency);
 
 	/* one that is late anyway finds out whether pauses are still long */
 	return !request->gap_objective || request->overdue ||
@@ -135,15 +139,16 @@
  * True if the answer would hold a slot there far longer than elsewhere, while
  * short answers, which could be on time there, are turned away.
  */
-static bool exceeds_slot_time(const directory_endpoint_t *endpoint,
-			      const directory_service_t *service,
+static bool exceeds_slot_time(const registry_endpoint_t *endpoint,
+			      const registry_service_t *service,
 			      const placement_request_t *request)
 {
 	const latency_model_t average = { 0 };
 	double longer =
-		latency_expected_stream_time(&endpoint->pace, &service->pace,
+		latency_expected_stream_time(&endpoint->latency,
+					     &service->latency,
 					     request->answer_tokens) -
-		latency_expected_stream_time(&average, &service->pace,
+		latency_expected_stream_time(&average, &service->latency,
 					     request->answer_tokens);
 
 	return request->objective && !request->overdue &&
@@ -155,8 +160,8 @@
  * True if the answer would begin too late there though the request can still
  * be on time: a slot that falls free elsewhere a little later is in time.
  */
-static bool misses_first_event(const directory_endpoint_t *endpoint,
-			       const directory_service_t *service,
+static bool misses_first_event(const registry_endpoint_t *endpoint,
+			       const registry_service_t *service,
 			       const placement_request_t *request)
 {
 	return !request->overdue && request->first_event_within > 0 &&
@@ -176,8 +181,8 @@
  * held a slot for all that time. Callers' guesses of its length are often
  * wrong, so one that fits nowhere is still tried where it is least hopeless.
  */
-static fit_t endpoint_fit(const directory_endpoint_t *endpoint,
-			  const directory_service_t *service,
+static fit_t endpoint_fit(const registry_endpoint_t *endpoint,
+			  const registry_service_t *service,
 			  const placement_request_t *request)
 {
 	double whole;
@@ -195,8 +200,8 @@
 	return FIT_GOOD;
 }
 
-static double cost(const directory_endpoint_t *endpoint,
-		   const directory_service_t *service,
+static double cost(const registry_endpoint_t *endpoint,
+		   const registry_service_t *service,
 		   const placement_request_t *request)
 {
 	double load = (double)in_flight(endpoint) /
@@ -204,10 +209,10 @@
 	double first = expected_first_event(endpoint, service, request);
 
 	first *= 1 + LOAD_COST * load;
-	first *= 1 + QUEUED_COST * (double)endpoint->told.waiting;
-	if (endpoint->told.doubtful)
+	first *= 1 + QUEUED_COST * (double)endpoint->report.waiting;
+	if (endpoint->report.unreachable)
 		first *= UNREACHABLE_COST;
-	first *= 1 + FAILING_COST * endpoint->pace.failure_rate;
+	first *= 1 + FAILING_COST * endpoint->latency.failure_rate;
 	first *= 1 + RANDOM_COST * random_fraction(request->random_bits,
 						   endpoint->key);
 	if (!endpoint->idle_connections)
@@ -219,24 +224,24 @@
 
 /* What a walk over the endpoints finds. */
 typedef struct choice {
-	directory_endpoint_t *best;
+	registry_endpoint_t *best;
 	double cost;
-	directory_endpoint_t *ejected_idle; /* ejected, with nothing to do */
+	registry_endpoint_t *ejected_idle; /* ejected, with nothing to do */
 	bool any_untried; /* that was not tried */
 	bool any_not_ejected; /* that is not ejected */
 	fit_t best_fit; /* the best of a sound one, full or not */
 } choice_t;
 
 /* An owner that does not answer keeps no queue to wait in. */
-static bool cannot_queue_at(const directory_endpoint_t *endpoint,
+static bool cannot_queue_at(const registry_endpoint_t *endpoint,
 			    const placement_request_t *request,
 			    pimento_usec_t now)
 {
-	return request->may_queue && endpoint->owner_silent_until > now;
+	return request->may_queue && endpoint->owner_unresponsive_until > now;
 }
 
-static void consider_endpoint(choice_t *choice, directory_endpoint_t *endpoint,
-			      const directory_service_t *service,
+static void consider_endpoint(choice_t *choice, registry_endpoint_t *endpoint,
+			      const registry_service_t *service,
 			      const placement_request_t *request,
 			      pimento_usec_t now)
 {
@@ -244,7 +249,7 @@
 	double c;
 
 	choice->any_untried = true;
-	if (endpoint->pace.ejected_until > now) {
+	if (endpoint->latency.ejected_until > now) {
 		if (endpoint->running == 0)
 			choice->ejected_idle = endpoint;
 		return;
@@ -267,19 +272,20 @@
 	}
 }
 
-placement_result_t placement_choose(directory_t *directory,
+placement_result_t placement_choose(registry_t *registry,
 				    const placement_request_t *request,
 				    pimento_usec_t now,
-				    directory_endpoint_t **endpoint)
+				    registry_endpoint_t **endpoint)
 {
-	directory_service_t *service =
-		directory_service(directory, request->service);
+	registry_service_t *service =
+		registry_get_service(registry, request->service);
 	choice_t choice = { .cost = INFINITY };
 
-	for (uint32_t i = 0; service && i < directory->count; i++) {
-		directory_endpoint_t *e = directory->endpoints[i];
+	for (uint32_t i = 0; service && i < registry->count; i++) {
+		registry_endpoint_t *e = registry->endpoints[i];
 
-		if (e->service == request->service && directory_takes(e, now) &&
+		if (e->service == request->service &&
+		    registry_endpoint_accepts_work(e, now) &&
 		    !is_excluded(request, e->key))
 			consider_endpoint(&choice, e, service, request, now);
 	}
@@ -289,23 +295,24 @@
 	return choice.any_untried ? PLACEMENT_FULL : PLACEMENT_NONE;
 }
 
-bool placement_accepts_grant(directory_t *directory,
+bool placement_accepts_grant(registry_t *registry,
 			     const placement_request_t *request,
-			     const directory_endpoint_t *endpoint,
+			     const registry_endpoint_t *endpoint,
 			     pimento_usec_t now)
 {
-	const directory_service_t *service =
-		directory_service(directory, request->service);
+	const registry_service_t *service =
+		registry_get_service(registry, request->service);
 	fit_t fit;
 
 	if (!service)
 		return true;
 	fit = endpoint_fit(endpoint, service, request);
-	for (uint32_t i = 0; fit < FIT_GOOD && i < directory->count; i++) {
-		const directory_endpoint_t *e = directory->endpoints[i];
+	for (uint32_t i = 0; fit < FIT_GOOD && i < registry->count; i++) {
+		const registry_endpoint_t *e = registry->endpoints[i];
 
-		if (e->service == request->service && directory_takes(e, now) &&
-		    e->pace.ejected_until <= now &&
+		if (e->service == request->service &&
+		    registry_endpoint_accepts_work(e, now) &&
+		    e->latency.ejected_until <= now &&
 		    !has(request->tried, request->tried_count, e->key) &&
 		    endpoint_fit(e, service, request) > fit)
 			return false;
@@ -313,16 +320,17 @@
 	return true;
 }
 
-placement_headroom_t placement_headroom(const directory_t *directory,
+placement_headroom_t placement_headroom(const registry_t *registry,
 					pimento_id_t service,
 					pimento_usec_t now)
 {
 	placement_headroom_t headroom = { 0, 0 };
 
-	for (uint32_t i = 0; i < directory->count; i++) {
-		const directory_endpoint_t *e = directory->endpoints[i];
+	for (uint32_t i = 0; i < registry->count; i++) {
+		const registry_endpoint_t *e = registry->endpoints[i];
 
-		if (e->service != service || !directory_takes(e, now))
+		if (e->service != service ||
+		    !registry_endpoint_accepts_work(e, now))
 			continue;
 		headroom.capacity += e->slots;
 		headroom.in_flight += in_flight(e);
--- a/src/placement.h
+++ b/src/placement.h
@@ -6,7 +6,7 @@
  * is expected to answer first.
  */
 
-#include "directory.h"
+#include "registry.h"
 #include "grants.h"
 
 #define PLACEMENT_TRIED_MAX 8
@@ -42,24 +42,24 @@
  * Sets endpoint if PLACEMENT_FOUND. An endpoint that is ejected is used only
  * when all are, since it may work again, and for one request at a time.
  */
-placement_result_t placement_choose(directory_t *directory,
+placement_result_t placement_choose(registry_t *registry,
 				    const placement_request_t *request,
 				    pimento_usec_t now,
-				    directory_endpoint_t **endpoint);
+				    registry_endpoint_t **endpoint);
 
 /*
  * True if a place given there is to be taken: the request can be served well
  * there, or nowhere else either. What the owner says with the place may be the
  * first that this host hears of the endpoint's speed.
  */
-bool placement_accepts_grant(directory_t *directory,
+bool placement_accepts_grant(registry_t *registry,
 			     const placement_request_t *request,
-			     const directory_endpoint_t *endpoint,
+			     const registry_endpoint_t *endpoint,
 			     pimento_usec_t now);
 
 /* Requests that an endpoint of the service may have in flight. */
-uint32_t placement_in_flight_limit(const directory_service_t *service,
-				   const directory_endpoint_t *endpoint);
+uint32_t placement_in_flight_limit(const registry_service_t *service,
+				   const registry_endpoint_t *endpoint);
 
 /* Places of a service: taken counts requests in flight anywhere. */
 typedef struct placement_headroom {
@@ -67,7 +67,7 @@
 	uint32_t in_flight;
 } placement_headroom_t;
 
-placement_headroom_t placement_headroom(const directory_t *directory,
+placement_headroom_t placement_headroom(const registry_t *registry,
 					pimento_id_t service,
 					pimento_usec_t now);
 
--- a/src/progress.c
+++ b/src/progress.c
@@ -1,7 +1,7 @@
 #include "progress.h"
 
-/* A transfer may take START_GRACE plus the time for its bytes at RATE_MIN. */
-#define RATE_MIN ((pimento_usec_t)65536) /* bytes per second */
+/* A transfer may take START_GRACE plus the time for its bytes at BYTES_PER_SECOND_MIN. */
+#define BYTES_PER_SECOND_MIN ((pimento_usec_t)65536) /* bytes per second */
 #define START_GRACE (2 * PIMENTO_SEC)
 
 void progress_begin(progress_t *progress, pimento_usec_t now)
@@ -19,8 +19,8 @@
 		      pimento_usec_t now)
 {
 	pimento_usec_t time_limit =
-		START_GRACE +
-		(pimento_usec_t)progress->bytes * PIMENTO_SEC / RATE_MIN;
+		START_GRACE + (pimento_usec_t)progress->bytes * PIMENTO_SEC /
+				      BYTES_PER_SECOND_MIN;
 
 	return now - progress->last_received > idle_limit ||
 	       now - progress->started > time_limit;
--- /dev/null
+++ b/src/registry.c
@@ -0,0 +1,174 @@
+/*
+ * A plain array: the largest deployment lists 600 endpoints, and a walk over
+ * them costs less than slots an index true.
+ */
+
+#include "registry.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+void registry_init(registry_t *registry)
+{
+	*registry = (registry_t){ 0 };
+}
+
+static void free_endpoint(const registry_t *registry,
+			  registry_endpoint_t *endpoint)
+{
+	if (registry->on_endpoint_free)
+		registry->on_endpoint_free(endpoint);
+	free(endpoint);
+}
+
+void registry_finish(registry_t *registry)
+{
+	for (uint32_t i = 0; i < registry->count; i++)
+		free_endpoint(registry, registry->endpoints[i]);
+	for (uint32_t i = 0; i < registry->service_count; i++)
+		free(registry->services[i]);
+	free(registry->endpoints);
+	free(registry->services);
+}
+
+registry_endpoint_t *registry_find(const registry_t *registry, pimento_id_t key)
+{
+	for (uint32_t i = 0; i < registry->count; i++)
+		if (registry->endpoints[i]->key == key)
+			return registry->endpoints[i];
+	return NULL;
+}
+
+registry_service_t *registry_get_service(registry_t *registry, pimento_id_t key)
+{
+	registry_service_t **grown;
+	registry_service_t *service;
+
+	for (uint32_t i = 0; i < registry->service_count; i++)
+		if (registry->services[i]->key == key)
+			return registry->services[i];
+	grown = realloc(registry->services, (registry->service_count +
+					     1) * sizeof(registry_service_t *));
+	if (!grown)
+		return NULL;
+	registry->services = grown;
+	service = calloc(1, sizeof(*service));
+	if (!service)
+		return NULL;
+	service->key = key;
+	grown[registry->service_count++] = service;
+	return service;
+}
+
+static registry_endpoint_t *add_endpoint(registry_t *registry, pimento_id_t key)
+{
+	uint32_t size = registry->capacity ? registry->capacity * 2 : 16;
+	registry_endpoint_t *endpoint;
+
+	if (registry->count == registry->capacity) {
+		registry_endpoint_t **grown =
+			realloc(registry->endpoints,
+				size * sizeof(registry_endpoint_t *));
+
+		if (!grown)
+			return NULL;
+		registry->endpoints = grown;
+		registry->capacity = size;
+	}
+	endpoint = calloc(1, sizeof(*endpoint));
+	if (!endpoint)
+		return NULL;
+	endpoint->key = key;
+	registry->endpoints[registry->count++] = endpoint;
+	return endpoint;
+}
+
+static void copy_record(registry_endpoint_t *endpoint,
+			const registry_record_t *record)
+{
+	snprintf(endpoint->id, sizeof(endpoint->id), "%s", record->id);
+	snprintf(endpoint->address, sizeof(endpoint->address), "%s",
+		 record->address);
+	snprintf(endpoint->datacentre, sizeof(endpoint->datacentre), "%s",
+		 record->datacentre);
+	endpoint->service = pimento_id(record->service);
+	endpoint->port = record->port;
+	endpoint->slots = record->slots;
+	endpoint->revision = record->revision;
+	endpoint->leaving = record->leaving;
+	endpoint->listed = true;
+	endpoint->removal_at = 0;
+}
+
+registry_endpoint_t *registry_put(registry_t *registry,
+				  const registry_record_t *record)
+{
+	pimento_id_t key = pimento_id(record->id);
+	registry_endpoint_t *endpoint = registry_find(registry, key);
+	bool known = endpoint != NULL;
+
+	if (!endpoint)
+		endpoint = add_endpoint(registry, key);
+	if (!endpoint)
+		return NULL;
+	if (known && (endpoint->started_at_ms != record->started_at_ms ||
+		      endpoint->port != record->port ||
+		      strcmp(endpoint->address, record->address) != 0)) {
+		latency_init(&endpoint->latency);
+		endpoint->incarnation++;
+	}
+	endpoint->started_at_ms = record->started_at_ms;
+	copy_record(endpoint, record);
+	return endpoint;
+}
+
+void registry_schedule_removal(registry_t *registry, const char *id,
+			       pimento_usec_t removal_at)
+{
+	registry_endpoint_t *endpoint = registry_find(registry, pimento_id(id));
+
+	if (!endpoint || !endpoint->listed)
+		return;
+	endpoint->listed = false;
+	endpoint->removal_at = removal_at;
+}
+
+void registry_apply_report(registry_endpoint_t *endpoint,
+			   const registry_report_t *word, pimento_usec_t at)
+{
+	pimento_usec_t ejected = at + word->ejected_ms * PIMENTO_MSEC;
+
+	endpoint->report = *word;
+	endpoint->own_running_at_report = endpoint->running;
+	endpoint->report_at = at;
+	/* The owner hears from all hosts; this one has seen a few streams. */
+	if (word->event_gap_us)
+		endpoint->latency.event_gap_us = word->event_gap_us;
+	if (word->ejected_ms && endpoint->latency.ejected_until < ejected)
+		endpoint->latency.ejected_until = ejected;
+}
+
+void registry_free_removed(registry_t *registry, pimento_usec_t now)
+{
+	uint32_t kept = 0;
+
+	for (uint32_t i = 0; i < registry->count; i++) {
+		registry_endpoint_t *endpoint = registry->endpoints[i];
+
+		if (!endpoint->listed && endpoint->removal_at <= now &&
+		    !endpoint->refs)
+			free_endpoint(registry, endpoint);
+		else
+			registry->endpoints[kept++] = endpoint;
+	}
+	registry->count = kept;
+}
+
+bool registry_endpoint_accepts_work(const registry_endpoint_t *endpoint,
+				    pimento_usec_t now)
+{
+	if (endpoint->leaving)
+		return false;
+	return endpoint->listed || now < endpoint->removal_at;
+}
--- a/src/mirror.h
+++ b/src/replica.h
@@ -1,5 +1,5 @@
-#ifndef MIRROR_H
-#define MIRROR_H
+#ifndef REPLICA_H
+#define REPLICA_H
 
 /*
  * This host's copy of one collection of what the platform publishes: records by
@@ -17,16 +17,16 @@
 
 #include "../pimentoshelf.h"
 
-typedef enum mirror_kind {
-	MIRROR_CONFIGURATION,
-	MIRROR_ENDPOINTS,
-	MIRROR_KIND_COUNT
-} mirror_kind_t;
+typedef enum replica_kind {
+	REPLICA_CONFIGURATION,
+	REPLICA_ENDPOINTS,
+	REPLICA_KIND_COUNT
+} replica_kind_t;
 
 /* Returns "configuration" or "endpoints", as used in paths and logs. */
-const char *mirror_kind_name(mirror_kind_t kind);
+const char *replica_kind_name(replica_kind_t kind);
 
-typedef struct mirror_record {
+typedef struct replica_record {
 	char *key;
 	char *value; /* NUL-terminated; NULL once removed */
 	size_t length;
@@ -34,46 +34,49 @@
 	size_t compressed_length;
 	uint64_t revision;
 	bool seen; /* during a full listing */
-} mirror_record_t;
+} replica_record_t;
 
-typedef struct mirror {
+typedef struct replica {
 	/* Told of each change; value is NULL when the record was removed. */
-	void (*changed)(void *context, const mirror_record_t *record);
+	void (*changed)(void *context, const replica_record_t *record);
 	void *context;
-	mirror_record_t *records; /* sorted by key, removed ones included */
+	replica_record_t *records; /* sorted by key, removed ones included */
 	uint32_t count;
-	uint32_t size;
+	uint32_t capacity;
 	uint64_t revision; /* all changes up to this one are held */
 	/* Of the last full listing; all later removals are known. */
 	uint64_t listing_revision;
-	bool listing; /* a batch of records is being applied */
-	pimento_usec_t fresh; /* see above; MIRROR_NEVER before the first */
+	bool applying_batch; /* a batch of records is being applied */
+	pimento_usec_t
+		confirmed_at; /* see above; REPLICA_NEVER before the first */
 	/* Start of the latest read, by any host, that the store answered. */
 	pimento_usec_t store_answered_at;
-	pimento_usec_t removal_grace_until; /* see mirror_gone_at(); 0: none */
-} mirror_t;
+	pimento_usec_t
+		removal_grace_until; /* see replica_removal_time(); 0: none */
+} replica_t;
 
-#define MIRROR_NEVER INT64_MIN
+#define REPLICA_NEVER INT64_MIN
 
-void mirror_init(mirror_t *mirror,
-		 void (*changed)(void *context, const mirror_record_t *record),
-		 void *context);
-void mirror_finish(mirror_t *mirror);
+void replica_init(replica_t *replica,
+		  void (*changed)(void *context,
+				  const replica_record_t *record),
+		  void *context);
+void replica_finish(replica_t *replica);
 
 /*
  * Applies one change; a NULL value removes the record. Outside of a listing,
  * changes must be applied in order, without gaps. Returns 0 or PIMENTO_ENOMEM.
  */
-int mirror_put(mirror_t *mirror, const char *key, const char *value,
-	       size_t length, uint64_t revision);
+int replica_put(replica_t *replica, const char *key, const char *value,
+		size_t length, uint64_t revision);
 
 /*
  * Caches the compressed form of a value if the record still has this revision.
  * Does nothing if memory cannot be allocated.
  */
-void mirror_cache_compressed(mirror_t *mirror, const char *key,
-			     uint64_t revision, const char *compressed,
-			     size_t length);
+void replica_cache_compressed(replica_t *replica, const char *key,
+			      uint64_t revision, const char *compressed,
+			      size_t length);
 
 /*
  * A full listing: between begin and end, each record listed is put; what was
@@ -82,31 +85,33 @@
  * Returns 0 or PIMENTO_ENOMEM; an error leaves the revision of the copy
  * unchanged.
  */
-void mirror_list_begin(mirror_t *mirror);
-int mirror_list_end(mirror_t *mirror, uint64_t revision);
+void replica_list_begin(replica_t *replica);
+int replica_list_end(replica_t *replica, uint64_t revision);
 /* Ends a batch that holds all changes since the copy's revision up to this. */
-void mirror_changes_end(mirror_t *mirror, uint64_t revision);
+void replica_changes_end(replica_t *replica, uint64_t revision);
 /* Ends an incomplete batch without advancing the revision. */
-void mirror_list_cancel(mirror_t *mirror);
+void replica_list_cancel(replica_t *replica);
 
 /* A read that began at start saw everything up to revision. */
-void mirror_confirm(mirror_t *mirror, uint64_t revision, pimento_usec_t start);
+void replica_confirm(replica_t *replica, uint64_t revision,
+		     pimento_usec_t start);
 
 /*
  * Records that the store answered a read, by this host or a peer, that began at
  * start. Must be called before the changes from that read are applied.
  */
-void mirror_store_answered(mirror_t *mirror, pimento_usec_t start,
-			   pimento_usec_t now);
+void replica_store_answered(replica_t *replica, pimento_usec_t start,
+			    pimento_usec_t now);
 
 /*
  * Returns when a record removed now takes effect as gone: immediately, or, after
  * a store outage for all hosts, at the end of the grace period in which live
  * endpoints rewrite their expired records.
  */
-pimento_usec_t mirror_gone_at(const mirror_t *mirror, pimento_usec_t now);
+pimento_usec_t replica_removal_time(const replica_t *replica,
+				    pimento_usec_t now);
 
 /* Age of the copy; PIMENTO_NEVER before the first read. */
-pimento_usec_t mirror_age(const mirror_t *mirror, pimento_usec_t now);
+pimento_usec_t replica_age(const replica_t *replica, pimento_usec_t now);
 
 #endif
--- a/src/roster.c
+++ b/src/roster.c
@@ -115,7 +115,7 @@
 {
 	peer->load_count = note->load_count;
 	memcpy(peer->loads, note->loads, sizeof(peer->loads));
-	for (int kind = 0; kind < MIRROR_KIND_COUNT; kind++)
+	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++)
 		peer->revisions[kind] = note->copies[kind].revision;
 }
 
@@ -228,11 +228,11 @@
 
 roster_peer_t *roster_receive(roster_t *roster, const roster_note_t *note,
 			      pimento_usec_t now,
-			      pimento_usec_t fresh[MIRROR_KIND_COUNT])
+			      pimento_usec_t fresh[REPLICA_KIND_COUNT])
 {
 	roster_peer_t *peer = find(roster, note->address);
 
-	for (int kind = 0; kind < MIRROR_KIND_COUNT; kind++)
+	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++)
 		fresh[kind] = INT64_MIN;
 	if (note->address == roster->self || !note->address)
 		return NULL;
@@ -252,7 +252,7 @@
 	peer->their_stamp = note->stamp;
 	peer->heard_at = now;
 	take_counts(peer, note);
-	for (int kind = 0; kind < MIRROR_KIND_COUNT; kind++)
+	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++)
 		fresh[kind] = fresh_since(note, &note->copies[kind], now);
 	return peer;
 }
--- a/src/roster.h
+++ b/src/roster.h
@@ -11,9 +11,9 @@
  */
 
 #include "quota.h"
-#include "directory.h"
+#include "registry.h"
 #include "member.h"
-#include "mirror.h"
+#include "replica.h"
 
 /* A note has room for this many; more would not fit one datagram. */
 #define ROSTER_LOADS_MAX 64
@@ -39,7 +39,7 @@
 typedef struct roster_kept {
 	uint32_t endpoint;
 	pimento_usec_t age; /* since the owner reported it */
-	directory_word_t word;
+	registry_report_t word;
 } roster_owned_t;
 
 /* A host that reads the platform's store, with success. */
@@ -67,7 +67,7 @@
 	pimento_usec_t stamp; /* sender's clock */
 	pimento_usec_t echo; /* of the receiver's last stamp; 0 none */
 	roster_copy_t
-		copies[MIRROR_KIND_COUNT]; /* of the sender, by collection */
+		copies[REPLICA_KIND_COUNT]; /* of the sender, by collection */
 	roster_probe_t probe;
 	bool pull; /* the receiver is to answer with a note of its own */
 	message_probe_t membership;
@@ -89,7 +89,7 @@
 	pimento_usec_t heard_at;
 	pimento_usec_t added_at;
 	pimento_usec_t their_stamp; /* to echo */
-	uint64_t revisions[MIRROR_KIND_COUNT];
+	uint64_t revisions[REPLICA_KIND_COUNT];
 	uint32_t load_count;
 	roster_load_t loads[ROSTER_LOADS_MAX];
 } roster_peer_t;
@@ -134,7 +134,7 @@
  */
 roster_peer_t *roster_receive(roster_t *roster, const roster_note_t *note,
 			      pimento_usec_t now,
-			      pimento_usec_t fresh[MIRROR_KIND_COUNT]);
+			      pimento_usec_t fresh[REPLICA_KIND_COUNT]);
 
 /* The next peers in turn; at most most. Returns how many. */
 uint32_t roster_targets(roster_t *roster, pimento_usec_t now, uint32_t most,
--- a/src/snapshot.c
+++ b/src/snapshot.c
@@ -14,7 +14,7 @@
  * Caches the compressed value if it is smaller. On failure, the value is sent
  * uncompressed.
  */
-static void compress_value(mirror_record_t *record)
+static void compress_value(replica_record_t *record)
 {
 	uLongf length = compressBound(record->length);
 	char *compressed;
@@ -34,7 +34,7 @@
 	}
 }
 
-static void fill_record(Peer__Record *to, mirror_record_t *from)
+static void fill_record(Peer__Record *to, replica_record_t *from)
 {
 	peer__record__init(to);
 	to->key = from->key;
@@ -53,32 +53,32 @@
 }
 
 /* Excludes records beyond the copy's revision, which may lack earlier changes. */
-static bool is_included(const mirror_t *mirror, const mirror_record_t *record,
-			uint64_t after)
+static bool is_included(const replica_t *replica,
+			const replica_record_t *record, uint64_t after)
 {
-	if (record->revision > mirror->revision || record->revision <= after)
+	if (record->revision > replica->revision || record->revision <= after)
 		return false;
 	return record->value || after;
 }
 
-int snapshot_pack(mirror_t *mirror, uint64_t after, uint8_t **bytes,
+int snapshot_pack(replica_t *replica, uint64_t after, uint8_t **bytes,
 		  size_t *length)
 {
 	Peer__Snapshot message = PEER__SNAPSHOT__INIT;
-	Peer__Record *records = calloc(mirror->count + 1, sizeof(*records));
+	Peer__Record *records = calloc(replica->count + 1, sizeof(*records));
 	Peer__Record **pointers =
-		calloc(mirror->count + 1, sizeof(Peer__Record *));
+		calloc(replica->count + 1, sizeof(Peer__Record *));
 
 	*bytes = NULL;
-	message.after = after >= mirror->listing_revision ? after : 0;
-	message.revision = mirror->revision;
+	message.after = after >= replica->listing_revision ? after : 0;
+	message.revision = replica->revision;
 	message.records = pointers;
-	for (uint32_t i = 0; records && pointers && i < mirror->count; i++) {
+	for (uint32_t i = 0; records && pointers && i < replica->count; i++) {
 		Peer__Record *to = &records[message.n_records];
 
-		if (!is_included(mirror, &mirror->records[i], message.after))
+		if (!is_included(replica, &replica->records[i], message.after))
 			continue;
-		fill_record(to, &mirror->records[i]);
+		fill_record(to, &replica->records[i]);
 		pointers[message.n_records++] = to;
 	}
 	if (records && pointers) {
@@ -92,7 +92,7 @@
 	return *bytes ? 0 : PIMENTO_ENOMEM;
 }
 
-static int put_compressed(mirror_t *mirror, const Peer__Record *record)
+static int put_compressed(replica_t *replica, const Peer__Record *record)
 {
 	uLongf length = record->length;
 	char *value;
@@ -106,48 +106,48 @@
 	if (uncompress((Bytef *)value, &length, record->value.data,
 		       record->value.len) == Z_OK &&
 	    length == record->length)
-		error = mirror_put(mirror, record->key, value, length,
-				   record->revision);
+		error = replica_put(replica, record->key, value, length,
+				    record->revision);
 	free(value);
 	if (!error)
-		mirror_cache_compressed(mirror, record->key, record->revision,
-					(const char *)record->value.data,
-					record->value.len);
+		replica_cache_compressed(replica, record->key, record->revision,
+					 (const char *)record->value.data,
+					 record->value.len);
 	return error;
 }
 
-static int put_record(mirror_t *mirror, const Peer__Record *record)
+static int put_record(replica_t *replica, const Peer__Record *record)
 {
 	if (record->removed)
-		return mirror_put(mirror, record->key, NULL, 0,
-				  record->revision);
+		return replica_put(replica, record->key, NULL, 0,
+				   record->revision);
 	if (record->length)
-		return put_compressed(mirror, record);
+		return put_compressed(replica, record);
 	/* An empty value is not a removal, though it has no bytes. */
-	return mirror_put(mirror, record->key,
-			  record->value.len ? (const char *)record->value.data
-					    : "",
-			  record->value.len, record->revision);
+	return replica_put(replica, record->key,
+			   record->value.len ? (const char *)record->value.data
+					     : "",
+			   record->value.len, record->revision);
 }
 
-static int apply_records(mirror_t *mirror, const Peer__Snapshot *snapshot)
+static int apply_records(replica_t *replica, const Peer__Snapshot *snapshot)
 {
-	mirror_list_begin(mirror);
+	replica_list_begin(replica);
 	for (size_t i = 0; i < snapshot->n_records; i++) {
-		int error = put_record(mirror, snapshot->records[i]);
+		int error = put_record(replica, snapshot->records[i]);
 
 		if (error) {
-			mirror_list_cancel(mirror);
+			replica_list_cancel(replica);
 			return error;
 		}
 	}
 	if (!snapshot->after)
-		return mirror_list_end(mirror, snapshot->revision);
-	mirror_changes_end(mirror, snapshot->revision);
+		return replica_list_end(replica, snapshot->revision);
+	replica_changes_end(replica, snapshot->revision);
 	return 0;
 }
 
-int snapshot_apply(mirror_t *mirror, const uint8_t *bytes, size_t length)
+int snapshot_apply(replica_t *replica, const uint8_t *bytes, size_t length)
 {
 	Peer__Snapshot *snapshot = peer__snapshot__unpack(NULL, length, bytes);
 	int result = PIMENTO_EPARSE;
@@ -155,10 +155,10 @@
 	if (!snapshot)
 		return PIMENTO_EPARSE;
 	/* Records missing from an older snapshot must not be taken for removed. */
-	if (snapshot->revision <= mirror->revision)
+	if (snapshot->revision <= replica->revision)
 		result = 0;
-	else if (snapshot->after <= mirror->revision)
-		result = apply_records(mirror, snapshot);
+	else if (snapshot->after <= replica->revision)
+		result = apply_records(replica, snapshot);
 	if (!result)
 		result = (int)snapshot->n_records;
 	peer__snapshot__free_unpacked(snapshot, NULL);
--- a/src/snapshot.h
+++ b/src/snapshot.h
@@ -8,7 +8,7 @@
  * receives and forwards it.
  */
 
-#include "mirror.h"
+#include "replica.h"
 
 /* Limits the decompressed length of a value received from a peer. */
 #define SNAPSHOT_VALUE_MAX ((uint32_t)16 * 1024 * 1024)
@@ -17,7 +17,7 @@
  * Encodes the changes after a revision, or all records if after is 0 or too old.
  * Sets bytes, which the caller frees, and length. Returns 0 or PIMENTO_ENOMEM.
  */
-int snapshot_pack(mirror_t *mirror, uint64_t after, uint8_t **bytes,
+int snapshot_pack(replica_t *replica, uint64_t after, uint8_t **bytes,
 		  size_t *length);
 
 /*
@@ -26,6 +26,6 @@
  * that start after the copy's revision; or PIMENTO_ENOMEM. An error leaves the
  * revision of the copy unchanged.
  */
-int snapshot_apply(mirror_t *mirror, const uint8_t *bytes, size_t length);
+int snapshot_apply(replica_t *replica, const uint8_t *bytes, size_t length);
 
 #endif
--- a/src/spread.c
+++ b/src/spread.c
@@ -356,8 +356,9 @@
 		free(t->delta);
 		t->delta = NULL;
 		t->delta_base = 0;
-		if (delta_make(from->text, from->length, t->current.text,
-			       t->current.length, &t->delta, &t->delta_length))
+		if (delta_create(from->text, from->length, t->current.text,
+				 t->current.length, &t->delta,
+				 &t->delta_length))
 			return false;
 		t->delta_base = base;
 	}
--- a/test/fuzz_packet.c
+++ b/test/fuzz_packet.c
@@ -3,7 +3,7 @@
  * stay within their bounds and what was read can be written again.
  */
 
-#include "events.h"
+#include "sse.h"
 #include "packet.h"
 
 #include <stdlib.h>
@@ -24,18 +24,18 @@
 static void fuzz_events(const uint8_t *data, size_t size)
 {
 	size_t half = size / 2;
-	events_t events;
+	sse_t events;
 	int64_t complete;
 
-	events_init(&events);
-	complete = events_take(&events, (const char *)data, half);
+	sse_init(&events);
+	complete = sse_feed(&events, (const char *)data, half);
 	if (complete < 0 || (size_t)complete > events.partial.length)
 		abort();
-	events_drop(&events, (size_t)complete);
-	complete = events_take(&events, (const char *)data + half, size - half);
+	sse_consume(&events, (size_t)complete);
+	complete = sse_feed(&events, (const char *)data + half, size - half);
 	if (complete < 0 || (size_t)complete > events.partial.length)
 		abort();
-	events_finish(&events);
+	sse_finish(&events);
 }
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
--- a/test/fuzz_records.c
+++ b/test/fuzz_records.c
@@ -9,26 +9,26 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-static void put(void *context, const directory_record_t *record)
+static void put(void *context, const registry_record_t *record)
 {
-	directory_t *directory = context;
+	registry_t *registry = context;
 
-	if (!directory_put(directory, record))
+	if (!registry_put(registry, record))
 		abort();
 }
 
 static void fuzz_endpoint(const char *text, size_t length)
 {
 	char reason[RECORDS_REASON_BYTES] = "";
-	directory_t directory;
+	registry_t registry;
 	int error;
 
-	directory_init(&directory);
+	registry_init(&registry);
 	error = records_endpoint(RECORDS_ENDPOINTS "i", text, length, 1, put,
-				 &directory, reason);
-	if ((error != 0) != (directory.count == 0) || (error && !reason[0]))
+				 &registry, reason);
+	if ((error != 0) != (registry.count == 0) || (error && !reason[0]))
 		abort();
-	directory_finish(&directory);
+	registry_finish(&registry);
 }
 
 static void fuzz_configuration(const char *text, size_t length)
@@ -39,8 +39,8 @@
 	if (!catalog && !reason[0])
 		abort();
 	if (catalog) {
-		(void)catalog_route(catalog, "a.example", "/a/");
-		(void)catalog_account(catalog, "k");
+		(void)catalog_find_route(catalog, "a.example", "/a/");
+		(void)catalog_find_account(catalog, "k");
 	}
 	catalog_release(catalog);
 }
--- a/test/fuzz_snapshot.c
+++ b/test/fuzz_snapshot.c
@@ -6,7 +6,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-static void ignore(void *context, const mirror_record_t *record)
+static void ignore(void *context, const replica_record_t *record)
 {
 	(void)context;
 	(void)record;
@@ -14,15 +14,15 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
-	mirror_t mirror;
+	replica_t replica;
 	uint8_t *bytes;
 	size_t length;
 
-	mirror_init(&mirror, ignore, NULL);
-	snapshot_apply(&mirror, data, size);
-	if (snapshot_pack(&mirror, 0, &bytes, &length))
+	replica_init(&replica, ignore, NULL);
+	snapshot_apply(&replica, data, size);
+	if (snapshot_pack(&replica, 0, &bytes, &length))
 		abort();
 	free(bytes);
-	mirror_finish(&mirror);
+	replica_finish(&replica);
 	return 0;
 }
--- a/test/roster_world.c
+++ b/test/roster_world.c
@@ -84,7 +84,7 @@
 static void deliver(roster_world_t *world, uint32_t from, roster_note_t *note,
 		    uint32_t address)
 {
-	pimento_usec_t fresh[MIRROR_KIND_COUNT];
+	pimento_usec_t fresh[REPLICA_KIND_COUNT];
 	quota_t *quota = world->hosts[from].quota;
 	uint32_t to = roster_world_index(address);
 
--- a/test/test_catalog.c
+++ b/test/test_catalog.c
@@ -26,7 +26,7 @@
 	add_route("a.example", "/x/");
 	add_route("a.example", "/x/long/");
 	add_route("a.example", "/y/");
-	catalog_seal(catalog);
+	catalog_finalize(catalog);
 }
 
 static void teardown(void)
@@ -38,7 +38,7 @@
 	const char *host;
 	const char *path;
 	const char *prefix; /* NULL: no route */
-} lookups[] = {
+} route_cases[] = {
 	{ "a.example", "/x/1", "/x/" },
 	{ "a.example", "/x/long/1", "/x/long/" },
 	{ "a.example", "/x/longer/1", "/x/" },
@@ -52,21 +52,21 @@
 	{ "", "/x/", NULL },
 };
 
-START_TEST(the_longest_prefix_of_the_host_wins)
+START_TEST(route_is_found_by_host_and_longest_prefix)
 {
-	const catalog_route_t *route =
-		catalog_route(catalog, lookups[_i].host, lookups[_i].path);
+	const catalog_route_t *route = catalog_find_route(
+		catalog, route_cases[_i].host, route_cases[_i].path);
 
-	if (!lookups[_i].prefix) {
+	if (!route_cases[_i].prefix) {
 		ck_assert_ptr_null(route);
 		return;
 	}
 	ck_assert_ptr_nonnull(route);
-	ck_assert_str_eq(route->prefix, lookups[_i].prefix);
+	ck_assert_str_eq(route->prefix, route_cases[_i].prefix);
 }
 END_TEST
 
-START_TEST(each_key_finds_its_account)
+START_TEST(account_is_found_by_key)
 {
 	catalog_t *keys = catalog_new(1);
 
@@ -75,18 +75,18 @@
 	ck_assert_int_eq(catalog_add_key(keys, "zz", 0), 0);
 	ck_assert_int_eq(catalog_add_key(keys, "aa", 1), 0);
 	ck_assert_int_eq(catalog_add_key(keys, "mm", 1), 0);
-	catalog_seal(keys);
-	ck_assert_str_eq(catalog_account(keys, "zz")->name, "first");
-	ck_assert_str_eq(catalog_account(keys, "aa")->name, "second");
-	ck_assert_str_eq(catalog_account(keys, "mm")->name, "second");
-	ck_assert_ptr_null(catalog_account(keys, "m"));
-	ck_assert_ptr_null(catalog_account(catalog, "aa"));
+	catalog_finalize(keys);
+	ck_assert_str_eq(catalog_find_account(keys, "zz")->name, "first");
+	ck_assert_str_eq(catalog_find_account(keys, "aa")->name, "second");
+	ck_assert_str_eq(catalog_find_account(keys, "mm")->name, "second");
+	ck_assert_ptr_null(catalog_find_account(keys, "m"));
+	ck_assert_ptr_null(catalog_find_account(catalog, "aa"));
 	catalog_release(keys);
 }
 END_TEST
 
 /* Guards against priorities of other steps than one, which would all look alike. */
-START_TEST(tiers_count_the_priorities_in_use)
+START_TEST(tiers_are_ranks_of_used_priorities)
 {
 	static const struct {
 		uint32_t priority;
@@ -104,7 +104,7 @@
 		route->prefix = strdup("/");
 		route->priority = routes[i].priority;
 	}
-	catalog_seal(many);
+	catalog_finalize(many);
 	for (int i = 0; i < COUNT; i++)
 		ck_assert_uint_eq(many->routes[i].tier, routes[i].tier);
 	for (uint32_t i = 0; i < 20; i++) {
@@ -115,7 +115,7 @@
 		route->prefix = strdup("/");
 		route->priority = 1000 + i;
 	}
-	catalog_seal(many);
+	catalog_finalize(many);
 	ck_assert_uint_eq(many->routes[2].tier, 0);
 	ck_assert_uint_eq(many->routes[0].tier, 3);
 	ck_assert_uint_eq(many->routes[COUNT + 19].tier, CATALOG_TIERS_MAX - 1);
@@ -123,7 +123,7 @@
 }
 END_TEST
 
-START_TEST(services_get_requests_by_weight)
+START_TEST(service_is_selected_by_weight)
 {
 	enum { DRAWS = 1000 };
 	catalog_route_t route = { 0 };
@@ -132,15 +132,15 @@
 	*catalog_add_target(&route) = (catalog_target_t){ 1, 90 };
 	*catalog_add_target(&route) = (catalog_target_t){ 2, 10 };
 	for (uint64_t draw = 0; draw < DRAWS; draw++)
-		first += catalog_pick(&route, draw) == 1;
+		first += catalog_select_service(&route, draw) == 1;
 	ck_assert_uint_eq(first, 900);
 	free(route.targets);
 }
 END_TEST
 
-START_TEST(a_version_lives_as_long_as_its_last_holder)
+START_TEST(version_is_freed_with_last_reference)
 {
-	catalog_t *held = catalog_hold(catalog);
+	catalog_t *held = catalog_retain(catalog);
 
 	catalog_release(catalog);
 	ck_assert_uint_eq(held->version, 7);
@@ -156,12 +156,12 @@
 	int failed;
 
 	tcase_add_checked_fixture(tests, setup, teardown);
-	tcase_add_loop_test(tests, the_longest_prefix_of_the_host_wins, 0,
-			    sizeof(lookups) / sizeof(lookups[0]));
-	tcase_add_test(tests, each_key_finds_its_account);
-	tcase_add_test(tests, tiers_count_the_priorities_in_use);
-	tcase_add_test(tests, services_get_requests_by_weight);
-	tcase_add_test(tests, a_version_lives_as_long_as_its_last_holder);
+	tcase_add_loop_test(tests, route_is_found_by_host_and_longest_prefix, 0,
+			    sizeof(route_cases) / sizeof(route_cases[0]));
+	tcase_add_test(tests, account_is_found_by_key);
+	tcase_add_test(tests, tiers_are_ranks_of_used_priorities);
+	tcase_add_test(tests, service_is_selected_by_weight);
+	tcase_add_test(tests, version_is_freed_with_last_reference);
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_placement.c
+++ b/test/test_placement.c
@@ -9,8 +9,8 @@
 #define SERVICE "engines"
 enum { ENDPOINTS = 4, SLOTS = 10, FAST_GAP_MS = 20, SLOW_FACTOR = 3 };
 
-static directory_t directory;
-static directory_endpoint_t *endpoints[ENDPOINTS];
+static registry_t registry;
+static registry_endpoint_t *endpoints[ENDPOINTS];
 static latency_service_t *service;
 
 /* The last endpoint takes three times as long for everything. */
@@ -20,7 +20,7 @@
 		for (int e = 0; e < ENDPOINTS; e++) {
 			int slow = e == ENDPOINTS - 1 ? SLOW_FACTOR : 1;
 
-			latency_add_gap(&endpoints[e]->pace, service,
+			latency_add_gap(&endpoints[e]->latency, service,
 					slow * FAST_GAP_MS * PIMENTO_MSEC);
 		}
 	}
@@ -30,7 +30,7 @@
 		uint32_t prompt = 1000 + (uint32_t)i * 50;
 
 		latency_add_first_event(
-			&endpoints[e]->pace, service,
+			&endpoints[e]->latency, service,
 			slow * (60 + prompt / 100) * PIMENTO_MSEC, prompt);
 		latency_add_length(service, 60, 10);
 	}
@@ -38,27 +38,28 @@
 
 static void setup(void)
 {
-	directory_init(&directory);
+	registry_init(&registry);
 	for (int i = 0; i < ENDPOINTS; i++) {
 		char id[16];
-		directory_record_t record = { .id = id,
-					      .service = SERVICE,
-					      .address = "127.0.0.1",
-					      .port = (uint16_t)(8000 + i),
-					      .datacentre = "a",
-					      .slots = SLOTS };
+		registry_record_t record = { .id = id,
+					     .service = SERVICE,
+					     .address = "127.0.0.1",
+					     .port = (uint16_t)(8000 + i),
+					     .datacentre = "a",
+					     .slots = SLOTS };
 
 		snprintf(id, sizeof(id), "e%d", i);
-		endpoints[i] = directory_put(&directory, &record);
+		endpoints[i] = registry_put(&registry, &record);
 		ck_assert_ptr_nonnull(endpoints[i]);
 	}
-	service = &directory_service(&directory, pimento_id(SERVICE))->pace;
+	service =
+		&registry_get_service(&registry, pimento_id(SERVICE))->latency;
 	train_latency_models();
 }
 
 static void teardown(void)
 {
-	directory_finish(&directory);
+	registry_finish(&registry);
 }
 
 static placement_request_t stream(uint32_t prompt, uint32_t answer)
@@ -74,15 +75,15 @@
 }
 
 static placement_result_t place(const placement_request_t *request,
-				directory_endpoint_t **endpoint)
+				registry_endpoint_t **endpoint)
 {
-	return placement_choose(&directory, request, PIMENTO_SEC, endpoint);
+	return placement_choose(&registry, request, PIMENTO_SEC, endpoint);
 }
 
 START_TEST(faster_idle_endpoints_are_preferred)
 {
 	placement_request_t request = stream(1000, 60);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_ne(endpoint, endpoints[ENDPOINTS - 1]);
@@ -97,7 +98,7 @@
 START_TEST(endpoints_with_idle_connections_are_preferred)
 {
 	placement_request_t request = stream(1000, 60);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	endpoints[1]->idle_connections = 1;
 	for (uint64_t draw = 0; draw < 50; draw++) {
@@ -115,7 +116,7 @@
 START_TEST(idle_connection_does_not_outweigh_slow_endpoint)
 {
 	placement_request_t request = stream(1000, 60);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	endpoints[ENDPOINTS - 1]->idle_connections = 1;
 	for (uint64_t draw = 0; draw < 50; draw++) {
@@ -134,7 +135,7 @@
 START_TEST(long_answer_waits_for_endpoint_within_deadline)
 {
 	placement_request_t request = stream(1000, 60 * 30); /* 300 events */
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	for (int i = 0; i < ENDPOINTS - 1; i++)
 		endpoints[i]->running = SLOTS + 1;
@@ -174,7 +175,7 @@
 {
 	placement_request_t request =
 		stream(1000, slow_endpoint_cases[_i].answer);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	request.objective = slow_endpoint_cases[_i].goal;
 	request.overdue = slow_endpoint_cases[_i].late;
@@ -217,7 +218,7 @@
 START_TEST(request_waits_for_endpoint_meeting_objective)
 {
 	placement_request_t request = stream(1000, 24);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	request.first_event_within = first_event_cases[_i].first_event_within;
 	request.overdue = first_event_cases[_i].late;
@@ -243,24 +244,24 @@
  */
 START_TEST(grant_is_declined_if_owner_reports_slow_endpoint)
 {
-	const directory_word_t word = { .gap_us = 160 * PIMENTO_MSEC };
+	const registry_report_t word = { .event_gap_us = 160 * PIMENTO_MSEC };
 	placement_request_t request = stream(1000, 600); /* a hundred events */
-	directory_endpoint_t *slow = endpoints[ENDPOINTS - 1];
+	registry_endpoint_t *slow = endpoints[ENDPOINTS - 1];
 
-	latency_init(&slow->pace);
-	ck_assert(placement_accepts_grant(&directory, &request, slow,
+	latency_init(&slow->latency);
+	ck_assert(placement_accepts_grant(&registry, &request, slow,
 					  PIMENTO_SEC));
-	directory_told(slow, &word, PIMENTO_SEC);
-	ck_assert(!placement_accepts_grant(&directory, &request, slow,
+	registry_apply_report(slow, &word, PIMENTO_SEC);
+	ck_assert(!placement_accepts_grant(&registry, &request, slow,
 					   PIMENTO_SEC));
 	request.answer_tokens = 24;
-	ck_assert(placement_accepts_grant(&directory, &request, slow,
+	ck_assert(placement_accepts_grant(&registry, &request, slow,
 					  PIMENTO_SEC));
 	/* where all are slow it is as good as the others */
 	request.answer_tokens = 600;
 	for (int i = 0; i < ENDPOINTS; i++)
-		directory_told(endpoints[i], &word, PIMENTO_SEC);
-	ck_assert(placement_accepts_grant(&directory, &request, slow,
+		registry_apply_report(endpoints[i], &word, PIMENTO_SEC);
+	ck_assert(placement_accepts_grant(&registry, &request, slow,
 					  PIMENTO_SEC));
 }
 END_TEST
@@ -273,9 +274,9 @@
 START_TEST(overdue_requests_probe_endpoints_with_long_gaps)
 {
 	placement_request_t request = stream(1000, 24);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
-	endpoints[3]->pace.event_gap_us = 290 * PIMENTO_MSEC;
+	endpoints[3]->latency.event_gap_us = 290 * PIMENTO_MSEC;
 	for (int i = 0; i < ENDPOINTS - 1; i++)
 		endpoints[i]->running = SLOTS + 1;
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
@@ -293,7 +294,7 @@
 {
 	placement_request_t request = stream(1000, 60);
 	pimento_id_t asked[ENDPOINTS];
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	request.may_queue = true;
 	request.queued_at = asked;
@@ -317,16 +318,16 @@
 START_TEST(request_does_not_queue_at_unresponsive_owner)
 {
 	placement_request_t request = stream(1000, 60);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	request.may_queue = true;
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoints[i]->running = SLOTS + 1;
 	for (int i = 0; i < ENDPOINTS - 1; i++)
-		endpoints[i]->owner_silent_until = 2 * PIMENTO_SEC;
+		endpoints[i]->owner_unresponsive_until = 2 * PIMENTO_SEC;
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_eq(endpoint, endpoints[ENDPOINTS - 1]);
-	endpoints[ENDPOINTS - 1]->owner_silent_until = 2 * PIMENTO_SEC;
+	endpoints[ENDPOINTS - 1]->owner_unresponsive_until = 2 * PIMENTO_SEC;
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
 	/* a place that is free is taken without the owner's leave */
 	request.may_queue = false;
@@ -383,7 +384,7 @@
 
 START_TEST(consecutive_errors_eject_endpoint)
 {
-	latency_model_t *pace = &endpoints[0]->pace;
+	latency_model_t *pace = &endpoints[0]->latency;
 
 	for (int i = 0; i < 6; i++)
 		latency_update_ejection(pace, service, outcomes[_i].outcomes[i],
@@ -397,7 +398,7 @@
 START_TEST(answer_too_long_for_every_endpoint_is_still_placed)
 {
 	placement_request_t request = stream(1000, 60 * 300);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 }
@@ -414,7 +415,7 @@
 {
 	/* 600 events: 12 s at a fast endpoint, 36 s at the slow one */
 	placement_request_t request = stream(1000, 60 * 60);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	for (int late = 0; late < 2; late++) {
 		request.overdue = late;
@@ -456,9 +457,9 @@
 START_TEST(ejected_endpoint_gets_no_overflow_from_full_ones)
 {
 	placement_request_t request = stream(1000, 60);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
-	latency_eject_unreachable(&endpoints[0]->pace, PIMENTO_SEC);
+	latency_eject_unreachable(&endpoints[0]->latency, PIMENTO_SEC);
 	for (int i = 1; i < ENDPOINTS; i++)
 		endpoints[i]->running = SLOTS + 1;
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
@@ -468,10 +469,10 @@
 START_TEST(all_ejected_endpoints_get_one_trial_request_each)
 {
 	placement_request_t request = stream(1000, 60);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	for (int i = 0; i < ENDPOINTS; i++)
-		latency_eject_unreachable(&endpoints[i]->pace, PIMENTO_SEC);
+		latency_eject_unreachable(&endpoints[i]->latency, PIMENTO_SEC);
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoints[i]->running = 1;
@@ -487,10 +488,10 @@
 START_TEST(requests_in_flight_from_peers_count_as_load)
 {
 	placement_request_t request = stream(1000, 60);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	for (int i = 0; i < ENDPOINTS; i++)
-		endpoints[i]->elsewhere = SLOTS + 1;
+		endpoints[i]->remote_running = SLOTS + 1;
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
 }
 END_TEST
@@ -498,10 +499,10 @@
 START_TEST(pending_prompt_tokens_raise_endpoint_cost)
 {
 	placement_request_t request = stream(1000, 60);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
-	endpoints[0]->reading = 50000;
-	endpoints[1]->reading_elsewhere = 50000;
+	endpoints[0]->pending_prompt_tokens = 50000;
+	endpoints[1]->remote_prompt_tokens = 50000;
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_eq(endpoint, endpoints[2]);
 }
@@ -515,7 +516,7 @@
 START_TEST(overdue_requests_may_use_every_slot)
 {
 	placement_request_t request = stream(1000, 60);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoints[i]->running = SLOTS;
@@ -536,10 +537,10 @@
 {
 	placement_request_t request = stream(1000, 60);
 	pimento_id_t tried[] = { endpoints[0]->key, endpoints[1]->key };
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	endpoints[2]->leaving = true;
-	directory_gone(&directory, "e3", PIMENTO_SEC / 2);
+	registry_schedule_removal(&registry, "e3", PIMENTO_SEC / 2);
 	request.tried = tried;
 	request.tried_count = 1;
 	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
@@ -552,11 +553,12 @@
 START_TEST(failing_endpoint_is_ejected)
 {
 	placement_request_t request = stream(1000, 60);
-	directory_endpoint_t *endpoint;
+	registry_endpoint_t *endpoint;
 
 	for (int i = 0; i < 12; i++)
-		latency_add_failure(&endpoints[0]->pace, service, PIMENTO_SEC);
-	ck_assert_int_gt(endpoints[0]->pace.ejected_until, PIMENTO_SEC);
+		latency_add_failure(&endpoints[0]->latency, service,
+				    PIMENTO_SEC);
+	ck_assert_int_gt(endpoints[0]->latency.ejected_until, PIMENTO_SEC);
 	for (int i = 0; i < 20; i++) {
 		request.random_bits = (uint64_t)i * 977;
 		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
@@ -567,18 +569,18 @@
 
 START_TEST(new_endpoint_process_clears_ejection)
 {
-	directory_record_t record = { .id = "e0",
-				      .service = SERVICE,
-				      .address = "127.0.0.1",
-				      .port = 8000,
-				      .datacentre = "a",
-				      .slots = SLOTS,
-				      .born = 5 };
-
-	latency_eject_unreachable(&endpoints[0]->pace, PIMENTO_SEC);
-	ck_assert_ptr_eq(directory_put(&directory, &record), endpoints[0]);
-	ck_assert_uint_eq(endpoints[0]->life, 1);
-	ck_assert_int_eq(endpoints[0]->pace.ejected_until, 0);
+	registry_record_t record = { .id = "e0",
+				     .service = SERVICE,
+				     .address = "127.0.0.1",
+				     .port = 8000,
+				     .datacentre = "a",
+				     .slots = SLOTS,
+				     .started_at_ms = 5 };
+
+	latency_eject_unreachable(&endpoints[0]->latency, PIMENTO_SEC);
+	ck_assert_ptr_eq(registry_put(&registry, &record), endpoints[0]);
+	ck_assert_uint_eq(endpoints[0]->incarnation, 1);
+	ck_assert_int_eq(endpoints[0]->latency.ejected_until, 0);
 }
 END_TEST
 
--- a/test/test_plain_slots.c
+++ b/test/test_plain_slots.c
@@ -129,8 +129,8 @@
 static double play(uint64_t seed, bool owner)
 {
 	static run_t run;
-	const directory_service_t plain = { .plain = true };
-	const directory_endpoint_t endpoint = { .slots = SLOTS };
+	const registry_service_t plain = { .queues_requests = true };
+	const registry_endpoint_t endpoint = { .slots = SLOTS };
 	uint32_t places = owner ? placement_in_flight_limit(&plain, &endpoint)
 				: SLOTS + OWN_QUEUE;
 	grants_ask_t given;
--- a/test/test_progress.c
+++ b/test/test_progress.c
@@ -5,15 +5,15 @@
 #include <check.h>
 #include <stdlib.h>
 
-enum { SILENCE_MS = 700, PIECE = 16 * 1024 };
+enum { IDLE_LIMIT_MS = 700, CHUNK_BYTES = 16 * 1024 };
 
 static const struct {
 	const char *name;
-	int pieces;
-	int every_ms; /* between pieces */
+	int chunks;
+	int interval_ms; /* between chunks */
 	int wait_ms; /* after the last */
 	bool stalled;
-} cases[] = {
+} transfer_cases[] = {
 	{ "no byte yet", 0, 0, 600, false },
 	{ "silent from the start", 0, 0, 800, true },
 	{ "1 MB at 600 KB/s", 64, 27, 0, false },
@@ -24,20 +24,20 @@
 };
 
 /* Guards against aborting large transfers and against waiting for stalled ones. */
-START_TEST(a_transfer_stalls_by_silence_or_rate_and_not_by_size)
+START_TEST(stall_depends_on_idle_time_or_rate)
 {
 	progress_t progress;
 	pimento_usec_t now = 5 * PIMENTO_SEC;
 
 	progress_begin(&progress, now);
-	for (int i = 0; i < cases[_i].pieces; i++) {
-		now += cases[_i].every_ms * PIMENTO_MSEC;
-		progress_add(&progress, PIECE, now);
+	for (int i = 0; i < transfer_cases[_i].chunks; i++) {
+		now += transfer_cases[_i].interval_ms * PIMENTO_MSEC;
+		progress_add(&progress, CHUNK_BYTES, now);
 	}
-	now += cases[_i].wait_ms * PIMENTO_MSEC;
-	ck_assert_msg(progress_stalled(&progress, SILENCE_MS * PIMENTO_MSEC,
-				       now) == cases[_i].stalled,
-		      "%s", cases[_i].name);
+	now += transfer_cases[_i].wait_ms * PIMENTO_MSEC;
+	ck_assert_msg(progress_stalled(&progress, IDLE_LIMIT_MS * PIMENTO_MSEC,
+				       now) == transfer_cases[_i].stalled,
+		      "%s", transfer_cases[_i].name);
 }
 END_TEST
 
@@ -48,9 +48,8 @@
 	SRunner *runner;
 	int failed;
 
-	tcase_add_loop_test(
-		tests, a_transfer_stalls_by_silence_or_rate_and_not_by_size, 0,
-		sizeof(cases) / sizeof(cases[0]));
+	tcase_add_loop_test(tests, stall_depends_on_idle_time_or_rate, 0,
+			    sizeof(transfer_cases) / sizeof(transfer_cases[0]));
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_records.c
+++ b/test/test_records.c
@@ -28,20 +28,21 @@
 
 	ck_assert_ptr_nonnull(c);
 	ck_assert_uint_eq(c->version, 7);
-	route = catalog_route(c, "a.example", "/p/x");
+	route = catalog_find_route(c, "a.example", "/p/x");
 	ck_assert_ptr_nonnull(route);
 	ck_assert_int_eq(route->kind, CATALOG_STREAMING);
 	ck_assert(route->resumable);
-	ck_assert(!route->open);
+	ck_assert(!route->allows_anonymous);
 	ck_assert_uint_eq(route->attempts_max, 2);
-	ck_assert_int_eq(route->goal, 400 * PIMENTO_MSEC);
+	ck_assert_int_eq(route->objective, 400 * PIMENTO_MSEC);
 	ck_assert_uint_eq(route->target_count, 2);
 	ck_assert_uint_eq(route->targets[1].service, pimento_id("s2"));
-	ck_assert(catalog_service(c, pimento_id("s1"))->engine);
-	ck_assert(!catalog_service(c, pimento_id("s2"))->engine);
-	ck_assert_str_eq(catalog_account(c, "k2")->name, "t1");
-	ck_assert(!catalog_account(c, "k2")->by_request);
-	ck_assert_double_eq(catalog_account(c, "k2")->tokens_per_second, 1.5);
+	ck_assert(catalog_find_service(c, pimento_id("s1"))->is_engine);
+	ck_assert(!catalog_find_service(c, pimento_id("s2"))->is_engine);
+	ck_assert_str_eq(catalog_find_account(c, "k2")->name, "t1");
+	ck_assert(!catalog_find_account(c, "k2")->counts_requests);
+	ck_assert_double_eq(catalog_find_account(c, "k2")->tokens_per_second,
+			    1.5);
 	ck_assert_int_eq(c->limits.idle_timeout, 15 * PIMENTO_SEC);
 	catalog_release(c);
 }
@@ -78,12 +79,12 @@
 }
 END_TEST
 
-static directory_t directory;
+static registry_t registry;
 
-static void put(void *context, const directory_record_t *record)
+static void put(void *context, const registry_record_t *record)
 {
 	(void)context;
-	ck_assert_ptr_nonnull(directory_put(&directory, record));
+	ck_assert_ptr_nonnull(registry_put(&registry, record));
 }
 
 static const struct {
@@ -129,16 +130,16 @@
 	char reason[RECORDS_REASON_BYTES] = "";
 	int error;
 
-	directory_init(&directory);
+	registry_init(&registry);
 	error = records_endpoint(RECORDS_ENDPOINTS "i-1", json, strlen(json), 3,
 				 put, NULL, reason);
 	ck_assert_int_eq(error, wanted ? PIMENTO_EPARSE : 0);
-	ck_assert_uint_eq(directory.count, wanted ? 0 : 1);
+	ck_assert_uint_eq(registry.count, wanted ? 0 : 1);
 	if (wanted)
 		ck_assert_msg(strstr(reason, wanted) != NULL, "%s", reason);
 	else
-		ck_assert_str_eq(directory.endpoints[0]->id, "i-1");
-	directory_finish(&directory);
+		ck_assert_str_eq(registry.endpoints[0]->id, "i-1");
+	registry_finish(&registry);
 }
 END_TEST
 
--- a/test/test_mirror.c
+++ b/test/test_replica.c
@@ -1,15 +1,15 @@
 /* The copy of the published records: what may change it, and its freshness. */
 
-#include "mirror.h"
+#include "replica.h"
 
 #include <check.h>
 #include <stdlib.h>
 #include <string.h>
 
-static mirror_t mirror;
+static replica_t replica;
 static uint32_t changes;
 
-static void changed(void *context, const mirror_record_t *record)
+static void changed(void *context, const replica_record_t *record)
 {
 	(void)context;
 	(void)record;
@@ -19,26 +19,26 @@
 static void setup(void)
 {
 	changes = 0;
-	mirror_init(&mirror, changed, NULL);
+	replica_init(&replica, changed, NULL);
 }
 
 static void teardown(void)
 {
-	mirror_finish(&mirror);
+	replica_finish(&replica);
 }
 
 static void put(const char *key, const char *value, uint64_t revision)
 {
-	ck_assert_int_eq(mirror_put(&mirror, key, value,
-				    value ? strlen(value) : 0, revision),
+	ck_assert_int_eq(replica_put(&replica, key, value,
+				     value ? strlen(value) : 0, revision),
 			 0);
 }
 
 static const char *value_of(const char *key)
 {
-	for (uint32_t i = 0; i < mirror.count; i++)
-		if (!strcmp(mirror.records[i].key, key))
-			return mirror.records[i].value;
+	for (uint32_t i = 0; i < replica.count; i++)
+		if (!strcmp(replica.records[i].key, key))
+			return replica.records[i].value;
 	return NULL;
 }
 
@@ -47,7 +47,7 @@
  * states what was true before. Operators would see a route that they removed
  * come back.
  */
-START_TEST(an_older_record_changes_nothing)
+START_TEST(stale_record_is_ignored)
 {
 	put("op/config", "new", 9);
 	put("op/config", "old", 8);
@@ -55,7 +55,7 @@
 	put("op/config", NULL, 8);
 	ck_assert_str_eq(value_of("op/config"), "new");
 	ck_assert_uint_eq(changes, 1);
-	ck_assert_uint_eq(mirror.revision, 9);
+	ck_assert_uint_eq(replica.revision, 9);
 }
 END_TEST
 
@@ -64,7 +64,7 @@
  * once more. Requests would go to an address where nobody answers, or somebody
  * else does.
  */
-START_TEST(a_removed_record_stays_removed)
+START_TEST(stale_put_does_not_undo_removal)
 {
 	put("servers/a", "here", 5);
 	put("servers/a", NULL, 6);
@@ -73,13 +73,13 @@
 }
 END_TEST
 
-START_TEST(a_listing_removes_what_it_does_not_hold)
+START_TEST(listing_removes_missing_records)
 {
 	put("servers/a", "1", 1);
 	put("servers/b", "1", 2);
-	mirror_list_begin(&mirror);
+	replica_list_begin(&replica);
 	put("servers/b", "1", 2);
-	ck_assert_int_eq(mirror_list_end(&mirror, 4), 0);
+	ck_assert_int_eq(replica_list_end(&replica, 4), 0);
 	ck_assert_ptr_null(value_of("servers/a"));
 	ck_assert_str_eq(value_of("servers/b"), "1");
 }
@@ -89,42 +89,42 @@
  * While the pages of a listing come in, an endpoint registers. It stands on no
  * page that was read before, but is newer than the listing.
  */
-START_TEST(a_listing_keeps_what_is_newer_than_itself)
+START_TEST(listing_keeps_newer_records)
 {
 	put("servers/new", "1", 9);
-	mirror_list_begin(&mirror);
+	replica_list_begin(&replica);
 	put("servers/b", "1", 2);
-	ck_assert_int_eq(mirror_list_end(&mirror, 4), 0);
+	ck_assert_int_eq(replica_list_end(&replica, 4), 0);
 	ck_assert_str_eq(value_of("servers/new"), "1");
 }
 END_TEST
 
 /* Guards against losing a change made between two pages of a listing. */
-START_TEST(a_listing_is_complete_up_to_its_first_page_only)
+START_TEST(listing_is_complete_up_to_first_page)
 {
-	mirror_list_begin(&mirror);
+	replica_list_begin(&replica);
 	put("servers/a", "read before it changed at 6", 2);
 	put("servers/b", "1", 9);
-	ck_assert_int_eq(mirror_list_end(&mirror, 4), 0);
-	mirror_confirm(&mirror, 9, 50); /* a peer that holds both changes */
-	ck_assert_int_eq(mirror_age(&mirror, 100), PIMENTO_NEVER);
+	ck_assert_int_eq(replica_list_end(&replica, 4), 0);
+	replica_confirm(&replica, 9, 50); /* a peer that holds both changes */
+	ck_assert_int_eq(replica_age(&replica, 100), PIMENTO_NEVER);
 	put("servers/a", "2", 6);
 	put("servers/b", "1", 9);
-	mirror_confirm(&mirror, 9, 50);
-	ck_assert_int_eq(mirror_age(&mirror, 100), 50);
+	replica_confirm(&replica, 9, 50);
+	ck_assert_int_eq(replica_age(&replica, 100), 50);
 }
 END_TEST
 
-START_TEST(freshness_only_grows_and_only_for_a_copy_that_is_whole)
+START_TEST(confirmation_requires_complete_replica)
 {
-	ck_assert_int_eq(mirror_age(&mirror, 100), PIMENTO_NEVER);
+	ck_assert_int_eq(replica_age(&replica, 100), PIMENTO_NEVER);
 	put("op/config", "x", 5);
-	mirror_confirm(&mirror, 6, 50); /* of a newer copy than ours */
-	ck_assert_int_eq(mirror_age(&mirror, 100), PIMENTO_NEVER);
-	mirror_confirm(&mirror, 5, 50);
-	ck_assert_int_eq(mirror_age(&mirror, 100), 50);
-	mirror_confirm(&mirror, 5, 40);
-	ck_assert_int_eq(mirror_age(&mirror, 100), 50);
+	replica_confirm(&replica, 6, 50); /* of a newer copy than ours */
+	ck_assert_int_eq(replica_age(&replica, 100), PIMENTO_NEVER);
+	replica_confirm(&replica, 5, 50);
+	ck_assert_int_eq(replica_age(&replica, 100), 50);
+	replica_confirm(&replica, 5, 40);
+	ck_assert_int_eq(replica_age(&replica, 100), 50);
 }
 END_TEST
 
@@ -145,7 +145,7 @@
 };
 
 /* Guards against using removed endpoints and against dropping live ones. */
-START_TEST(a_removed_record_is_kept_only_after_an_outage_for_all)
+START_TEST(removal_is_delayed_only_after_store_outage)
 {
 	pimento_usec_t gone;
 
@@ -153,10 +153,10 @@
 		pimento_usec_t start =
 			removal_cases[_i].answered_ms[i] * PIMENTO_MSEC;
 
-		mirror_store_answered(&mirror, start, start);
+		replica_store_answered(&replica, start, start);
 	}
-	gone = mirror_gone_at(&mirror,
-			      removal_cases[_i].removed_ms * PIMENTO_MSEC);
+	gone = replica_removal_time(&replica, removal_cases[_i].removed_ms *
+						      PIMENTO_MSEC);
 	ck_assert_msg(gone == removal_cases[_i].gone_ms * PIMENTO_MSEC, "%s",
 		      removal_cases[_i].name);
 }
@@ -170,16 +170,15 @@
 	int failed;
 
 	tcase_add_checked_fixture(tests, setup, teardown);
-	tcase_add_test(tests, an_older_record_changes_nothing);
-	tcase_add_test(tests, a_removed_record_stays_removed);
-	tcase_add_test(tests, a_listing_removes_what_it_does_not_hold);
-	tcase_add_test(tests, a_listing_keeps_what_is_newer_than_itself);
-	tcase_add_test(tests, a_listing_is_complete_up_to_its_first_page_only);
-	tcase_add_test(tests,
-		       freshness_only_grows_and_only_for_a_copy_that_is_whole);
-	tcase_add_loop_test(
-		tests, a_removed_record_is_kept_only_after_an_outage_for_all, 0,
-		sizeof(removal_cases) / sizeof(removal_cases[0]));
+	tcase_add_test(tests, stale_record_is_ignored);
+	tcase_add_test(tests, stale_put_does_not_undo_removal);
+	tcase_add_test(tests, listing_removes_missing_records);
+	tcase_add_test(tests, listing_keeps_newer_records);
+	tcase_add_test(tests, listing_is_complete_up_to_first_page);
+	tcase_add_test(tests, confirmation_requires_complete_replica);
+	tcase_add_loop_test(tests, removal_is_delayed_only_after_store_outage,
+			    0,
+			    sizeof(removal_cases) / sizeof(removal_cases[0]));
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_roster.c
+++ b/test/test_roster.c
@@ -56,7 +56,7 @@
 START_TEST(an_old_note_does_not_make_the_copy_fresh)
 {
 	roster_note_t note = note_of(PEER, 50);
-	pimento_usec_t fresh[MIRROR_KIND_COUNT];
+	pimento_usec_t fresh[REPLICA_KIND_COUNT];
 
 	note.echo = 10 * PIMENTO_SEC; /* our stamp before the freeze */
 	note.copies[_i].age = 200 * PIMENTO_MSEC;
@@ -70,7 +70,7 @@
 START_TEST(without_an_echo_nothing_is_known_of_the_age)
 {
 	roster_note_t note = note_of(PEER, 50);
-	pimento_usec_t fresh[MIRROR_KIND_COUNT];
+	pimento_usec_t fresh[REPLICA_KIND_COUNT];
 
 	note.copies[_i].age = 0;
 	ck_assert_ptr_nonnull(
@@ -88,7 +88,7 @@
 {
 	roster_note_t note = note_of(PEER, 100);
 	roster_note_t earlier = note_of(PEER, 90);
-	pimento_usec_t fresh[MIRROR_KIND_COUNT];
+	pimento_usec_t fresh[REPLICA_KIND_COUNT];
 
 	ck_assert_ptr_nonnull(roster_receive(&roster, &note, 200, fresh));
 	ck_assert_ptr_null(roster_receive(&roster, &earlier, 201, fresh));
@@ -102,7 +102,7 @@
 {
 	roster_note_t note = note_of(PEER, 100);
 	roster_load_t load;
-	pimento_usec_t fresh[MIRROR_KIND_COUNT];
+	pimento_usec_t fresh[REPLICA_KIND_COUNT];
 
 	note.loads[0] = (roster_load_t){ 9, 4, 700 };
 	note.load_count = 1;
@@ -123,7 +123,7 @@
 {
 	roster_peer_t *targets[8];
 	roster_note_t note = note_of(PEER, 100);
-	pimento_usec_t fresh[MIRROR_KIND_COUNT];
+	pimento_usec_t fresh[REPLICA_KIND_COUNT];
 
 	for (uint32_t seed = 10; seed < 13; seed++)
 		ck_assert_int_eq(roster_add(&roster, seed, true, 0), 0);
@@ -138,7 +138,7 @@
 START_TEST(a_host_that_is_gone_is_forgotten_but_a_seed_is_not)
 {
 	roster_peer_t *targets[8];
-	pimento_usec_t fresh[MIRROR_KIND_COUNT];
+	pimento_usec_t fresh[REPLICA_KIND_COUNT];
 	roster_note_t note = note_of(PEER, 100);
 
 	roster_receive(&roster, &note, PIMENTO_SEC, fresh);
@@ -157,7 +157,7 @@
 	pimento_usec_t now = PIMENTO_SEC;
 	uint32_t joined = 0;
 	roster_note_t relayed;
-	pimento_usec_t fresh[MIRROR_KIND_COUNT];
+	pimento_usec_t fresh[REPLICA_KIND_COUNT];
 
 	for (uint32_t i = 2; i < HOSTS; i++) {
 		roster_note_t note = note_of(i, 100);
@@ -224,7 +224,7 @@
 	int length;
 
 	note.echo = 99;
-	for (uint32_t kind = 0; kind < MIRROR_KIND_COUNT; kind++)
+	for (uint32_t kind = 0; kind < REPLICA_KIND_COUNT; kind++)
 		note.copies[kind] = (roster_copy_t){
 			(1u << 20) + kind,
 			(1500 + kind) * PIMENTO_MSEC,
@@ -273,9 +273,9 @@
 	ck_assert_int_ge(read.readers[3].age, 3 * PIMENTO_SEC);
 	ck_assert_double_eq(read.quotas[3].level, 1e7 + 3);
 	ck_assert_int_eq(read.quotas[3].age, PIMENTO_SEC);
-	ck_assert_uint_eq(read.owned[15].word.gap_us, 150000);
+	ck_assert_uint_eq(read.owned[15].word.event_gap_us, 150000);
 	ck_assert_int_eq(read.owned[15].age, 15 * PIMENTO_MSEC);
-	for (int kind = 0; kind < MIRROR_KIND_COUNT; kind++) {
+	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++) {
 		ck_assert_int_ge(read.copies[kind].age,
 				 note.copies[kind].age); /* never younger */
 		ck_assert_uint_eq(read.copies[kind].revision,
@@ -342,7 +342,7 @@
 START_TEST(discovery_lasts_until_a_peer_is_heard)
 {
 	const pimento_usec_t at = 1000 * PIMENTO_MSEC;
-	pimento_usec_t fresh[MIRROR_KIND_COUNT];
+	pimento_usec_t fresh[REPLICA_KIND_COUNT];
 	roster_note_t note = note_of(PEER, 100);
 
 	roster_add(&roster, PEER, true, at);
@@ -362,9 +362,9 @@
 
 	tcase_add_checked_fixture(tests, setup, teardown);
 	tcase_add_loop_test(tests, an_old_note_does_not_make_the_copy_fresh, 0,
-			    MIRROR_KIND_COUNT);
+			    REPLICA_KIND_COUNT);
 	tcase_add_loop_test(tests, without_an_echo_nothing_is_known_of_the_age,
-			    0, MIRROR_KIND_COUNT);
+			    0, REPLICA_KIND_COUNT);
 	tcase_add_test(tests, notes_that_overtake_each_other_do_no_harm);
 	tcase_add_test(tests, loads_of_silent_peers_are_not_believed);
 	tcase_add_test(tests, seeds_lead_to_the_others);
--- a/test/test_slots.c
+++ b/test/test_slots.c
@@ -10,9 +10,9 @@
 
 enum { SELF = 1, ASKER = 7, HOSTS = 20, PLACES = 8, TICKS = 12, ASKS = 20 };
 
-static directory_t directory;
-static directory_endpoint_t *endpoint;
-static directory_service_t *service;
+static registry_t registry;
+static registry_endpoint_t *endpoint;
+static registry_service_t *service;
 static roster_t roster;
 static slots_t slots;
 
@@ -32,7 +32,7 @@
 					  .incarnation = 1,
 					  .version = 1,
 					  .state = HOST_LIVE };
-		pimento_usec_t fresh[MIRROR_KIND_COUNT];
+		pimento_usec_t fresh[REPLICA_KIND_COUNT];
 
 		roster_receive(&roster, &note, now, fresh);
 	}
@@ -40,28 +40,28 @@
 
 static void setup(void)
 {
-	const directory_record_t record = { .id = "e",
-					    .service = SERVICE,
-					    .address = "127.0.0.1",
-					    .port = 8000,
-					    .datacentre = "a",
-					    .slots = PLACES };
-
-	directory_init(&directory);
-	endpoint = directory_put(&directory, &record);
+	const registry_record_t record = { .id = "e",
+					   .service = SERVICE,
+					   .address = "127.0.0.1",
+					   .port = 8000,
+					   .datacentre = "a",
+					   .slots = PLACES };
+
+	registry_init(&registry);
+	endpoint = registry_put(&registry, &record);
 	ck_assert_ptr_nonnull(endpoint);
-	service = directory_service(&directory, endpoint->service);
+	service = registry_get_service(&registry, endpoint->service);
 	ck_assert_ptr_nonnull(service);
 	ck_assert_int_eq(roster_init(&roster, SELF, 99), 0);
 	hear_peers(NOW);
-	slots_init(&slots, &directory, &roster, SELF);
+	slots_init(&slots, &registry, &roster, SELF);
 }
 
 static void teardown(void)
 {
 	slots_finish(&slots);
 	roster_finish(&roster);
-	directory_finish(&directory);
+	registry_finish(&registry);
 }
 
 static void ask(uint64_t ticket, pimento_usec_t now)
@@ -124,14 +124,14 @@
 		.outcome = LATENCY_OUTCOME_ANSWERED,
 	};
 	slots_take(&slots, &packet, NOW);
-	ck_assert_double_eq(endpoint->pace.event_gap_us, 160000);
+	ck_assert_double_eq(endpoint->latency.event_gap_us, 160000);
 	ck_assert_uint_eq(slots.granted,
 			  placement_in_flight_limit(service, endpoint));
 }
 END_TEST
 
 /* What hosts tell of a request that ended at an endpoint. */
-static void hear_end(const directory_endpoint_t *of, latency_outcome_t finding)
+static void hear_end(const registry_endpoint_t *of, latency_outcome_t finding)
 {
 	packet_t packet = { .kind = PACKET_SLOT_RELEASE };
 
@@ -152,9 +152,9 @@
 	for (int i = 0; i < 200; i++) {
 		hear_end(endpoint, i % 5 ? LATENCY_OUTCOME_FAILED
 					 : LATENCY_OUTCOME_ANSWERED);
-		ck_assert(i < 100 || endpoint->pace.ejected_until <= NOW);
+		ck_assert(i < 100 || endpoint->latency.ejected_until <= NOW);
 		if (i == 99)
-			endpoint->pace.ejected_until = 0;
+			endpoint->latency.ejected_until = 0;
 	}
 }
 END_TEST
@@ -164,17 +164,17 @@
  */
 START_TEST(an_endpoint_that_breaks_half_is_singled_out)
 {
-	const directory_record_t record = { .id = "sound",
-					    .service = SERVICE,
-					    .address = "127.0.0.1",
-					    .port = 8001,
-					    .datacentre = "a",
-					    .slots = PLACES };
-	directory_endpoint_t *sound = directory_put(&directory, &record);
+	const registry_record_t record = { .id = "sound",
+					   .service = SERVICE,
+					   .address = "127.0.0.1",
+					   .port = 8001,
+					   .datacentre = "a",
+					   .slots = PLACES };
+	registry_endpoint_t *sound = registry_put(&registry, &record);
 	int broken = 0;
 
 	ck_assert_ptr_nonnull(sound);
-	for (int i = 0; endpoint->pace.ejected_until <= NOW; i++) {
+	for (int i = 0; endpoint->latency.ejected_until <= NOW; i++) {
 		hear_end(sound, LATENCY_OUTCOME_ANSWERED);
 		hear_end(sound, LATENCY_OUTCOME_ANSWERED);
 		hear_end(endpoint, i % 2 ? LATENCY_OUTCOME_ANSWERED
@@ -182,7 +182,7 @@
 		broken += !(i % 2);
 		ck_assert_int_le(broken, 8);
 	}
-	ck_assert_int_le(sound->pace.ejected_until, NOW);
+	ck_assert_int_le(sound->latency.ejected_until, NOW);
 	for (uint64_t ticket = 1; ticket <= ASKS; ticket++)
 		ask(ticket, NOW + PIMENTO_SEC);
 	ck_assert_uint_eq(slots.granted, 1);
@@ -195,7 +195,7 @@
 	for (int i = 0; i < 12; i++)
 		hear_end(endpoint, i % 3 ? LATENCY_OUTCOME_FAILED
 					 : LATENCY_OUTCOME_ANSWERED);
-	endpoint->pace.ejected_until = NOW + PIMENTO_SEC;
+	endpoint->latency.ejected_until = NOW + PIMENTO_SEC;
 	for (uint64_t ticket = 1; ticket <= ASKS; ticket++)
 		ask(ticket, NOW);
 	ck_assert_uint_eq(slots.granted,
--- a/test/test_snapshot.c
+++ b/test/test_snapshot.c
@@ -9,18 +9,18 @@
 
 enum { LARGE_BYTES = 400000 };
 
-static mirror_t source;
-static mirror_t target;
+static replica_t source;
+static replica_t target;
 static uint32_t changes; /* applied to the target copy */
 
-static void count(void *context, const mirror_record_t *record)
+static void count(void *context, const replica_record_t *record)
 {
 	(void)context;
 	(void)record;
 	changes++;
 }
 
-static void ignore(void *context, const mirror_record_t *record)
+static void ignore(void *context, const replica_record_t *record)
 {
 	(void)context;
 	(void)record;
@@ -29,29 +29,29 @@
 static void setup(void)
 {
 	changes = 0;
-	mirror_init(&source, ignore, NULL);
-	mirror_init(&target, count, NULL);
+	replica_init(&source, ignore, NULL);
+	replica_init(&target, count, NULL);
 }
 
 static void teardown(void)
 {
-	mirror_finish(&source);
-	mirror_finish(&target);
+	replica_finish(&source);
+	replica_finish(&target);
 }
 
-static void put(mirror_t *mirror, const char *key, const char *value,
+static void put(replica_t *replica, const char *key, const char *value,
 		uint64_t revision)
 {
-	ck_assert_int_eq(mirror_put(mirror, key, value,
-				    value ? strlen(value) : 0, revision),
+	ck_assert_int_eq(replica_put(replica, key, value,
+				     value ? strlen(value) : 0, revision),
 			 0);
 }
 
-static const char *value_of(const mirror_t *mirror, const char *key)
+static const char *value_of(const replica_t *replica, const char *key)
 {
-	for (uint32_t i = 0; i < mirror->count; i++)
-		if (!strcmp(mirror->records[i].key, key))
-			return mirror->records[i].value;
+	for (uint32_t i = 0; i < replica->count; i++)
+		if (!strcmp(replica->records[i].key, key))
+			return replica->records[i].value;
 	return NULL;
 }
 
@@ -84,7 +84,7 @@
 }
 
 /* Guards against sending all records for each change. */
-START_TEST(only_changes_are_sent)
+START_TEST(snapshot_holds_only_changes)
 {
 	char *large = large_text();
 	size_t length;
@@ -105,7 +105,7 @@
 END_TEST
 
 /* Guards against losing a record whose value is empty. */
-START_TEST(an_empty_value_is_not_a_removal)
+START_TEST(empty_value_is_not_a_removal)
 {
 	size_t length;
 
@@ -116,7 +116,7 @@
 END_TEST
 
 /* Guards against restoring removed endpoints from a peer's snapshot. */
-START_TEST(removals_are_sent)
+START_TEST(snapshot_holds_removals)
 {
 	size_t length;
 
@@ -139,14 +139,14 @@
 };
 
 /* Guards against keeping a record whose removal the sender did not observe. */
-START_TEST(a_copy_older_than_the_senders_listing_gets_all_records)
+START_TEST(replica_older_than_listing_gets_all_records)
 {
 	size_t length;
 
 	put(&target, "a", "1", listing_cases[_i].held);
-	mirror_list_begin(&source);
+	replica_list_begin(&source);
 	put(&source, "b", "1", 5);
-	ck_assert_int_eq(mirror_list_end(&source, 7), 0);
+	ck_assert_int_eq(replica_list_end(&source, 7), 0);
 	put(&source, "c", "1", 8);
 	ck_assert_int_gt(transfer(&length), 0);
 	ck_assert_uint_eq(target.revision, 8);
@@ -159,14 +159,14 @@
 END_TEST
 
 /* Guards against sending a record without the changes that precede it. */
-START_TEST(records_beyond_the_complete_revision_are_not_sent)
+START_TEST(records_beyond_complete_revision_are_not_sent)
 {
 	size_t length;
 
-	mirror_list_begin(&source);
+	replica_list_begin(&source);
 	put(&source, "a", "1", 2);
 	put(&source, "b", "1", 9);
-	ck_assert_int_eq(mirror_list_end(&source, 4), 0);
+	ck_assert_int_eq(replica_list_end(&source, 4), 0);
 	ck_assert_int_eq(transfer(&length), 1);
 	ck_assert_uint_eq(target.revision, 4);
 	ck_assert_ptr_null(value_of(&target, "b"));
@@ -174,7 +174,7 @@
 END_TEST
 
 /* Guards against removing newer records because an older snapshot lacks them. */
-START_TEST(a_snapshot_that_is_not_newer_changes_nothing)
+START_TEST(stale_snapshot_is_ignored)
 {
 	size_t length;
 
@@ -187,7 +187,7 @@
 END_TEST
 
 /* Guards against treating a corrupt snapshot as complete. */
-START_TEST(a_damaged_snapshot_leaves_the_copy_incomplete)
+START_TEST(corrupt_snapshot_does_not_advance_revision)
 {
 	char *large = large_text();
 	uint8_t *bytes;
@@ -208,7 +208,7 @@
 END_TEST
 
 /* Guards against compressing a received value a second time. */
-START_TEST(a_compressed_value_is_forwarded_unchanged)
+START_TEST(compressed_value_is_not_recompressed)
 {
 	char *large = large_text();
 	size_t length;
@@ -232,17 +232,16 @@
 	int failed;
 
 	tcase_add_checked_fixture(tests, setup, teardown);
-	tcase_add_test(tests, only_changes_are_sent);
-	tcase_add_test(tests, an_empty_value_is_not_a_removal);
-	tcase_add_test(tests, removals_are_sent);
-	tcase_add_loop_test(
-		tests, a_copy_older_than_the_senders_listing_gets_all_records,
-		0, sizeof(listing_cases) / sizeof(listing_cases[0]));
-	tcase_add_test(tests,
-		       records_beyond_the_complete_revision_are_not_sent);
-	tcase_add_test(tests, a_snapshot_that_is_not_newer_changes_nothing);
-	tcase_add_test(tests, a_damaged_snapshot_leaves_the_copy_incomplete);
-	tcase_add_test(tests, a_compressed_value_is_forwarded_unchanged);
+	tcase_add_test(tests, snapshot_holds_only_changes);
+	tcase_add_test(tests, empty_value_is_not_a_removal);
+	tcase_add_test(tests, snapshot_holds_removals);
+	tcase_add_loop_test(tests, replica_older_than_listing_gets_all_records,
+			    0,
+			    sizeof(listing_cases) / sizeof(listing_cases[0]));
+	tcase_add_test(tests, records_beyond_complete_revision_are_not_sent);
+	tcase_add_test(tests, stale_snapshot_is_ignored);
+	tcase_add_test(tests, corrupt_snapshot_does_not_advance_revision);
+	tcase_add_test(tests, compressed_value_is_not_recompressed);
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_spread.c
+++ b/test/test_spread.c
@@ -92,8 +92,8 @@
 	char *made;
 	size_t length;
 
-	ck_assert_int_eq(delta_make(base, strlen(base), text, strlen(text),
-				    &delta, &length),
+	ck_assert_int_eq(delta_create(base, strlen(base), text, strlen(text),
+				      &delta, &length),
 			 0);
 	ck_assert_int_eq(delta_apply(base, strlen(base), delta, length, 1000,
 				     &made, &length),
