--- a/bench/cost.c
+++ b/bench/cost.c
@@ -91,7 +91,7 @@
 	    owner_init(&owner, &options, &out))
 		return PIMENTO_ENOMEM;
 	for (uint32_t i = 0; i < count; i++)
-		if (owner_take(&owner, 0, &all[i], 1, 1.0))
+		if (owner_add_endpoint(&owner, 0, &all[i], 1, 1.0))
 			return PIMENTO_ENOMEM;
 	while (owner.waiting < waiting) {
 		reserve(&owner, next++, count);
@@ -117,7 +117,7 @@
 	route_query_t query = { .target = CONFIG_TARGET_MODEL,
 				.target_name = "model",
 				.tier = 1,
-				.patience = PATIENCE,
+				.time_left = PATIENCE,
 				.prompt_tokens = 500,
 				.answer_tokens = 100,
 				.prefix = 1 };
@@ -192,7 +192,7 @@
 	granted.u.grant = (message_grant_t){ .request = reqid_new(),
 					     .round = 1,
 					     .epoch = UINT32_MAX,
-					     .lifetime = OWNER_LIFETIME,
+					     .lifetime = OWNER_GRANT_LIFETIME,
 					     .summary = summary_new() };
 	said.u.progress =
 		(message_progress_t){ .request = reqid_new(),
--- a/bench/ours.c
+++ b/bench/ours.c
@@ -122,11 +122,12 @@
 		if (w->endpoint_left[i])
 			continue;
 		if (h->owners[i] == host)
-			owner_take(&h->owner, w->sim.now, &w->descriptions[i],
-				   (uint64_t)w->sim.now + 1,
-				   reachable_part(o, host));
+			owner_add_endpoint(&h->owner, w->sim.now,
+					   &w->descriptions[i],
+					   (uint64_t)w->sim.now + 1,
+					   reachable_part(o, host));
 		else
-			owner_drop(&h->owner, w->sim.now, id);
+			owner_remove_endpoint(&h->owner, w->sim.now, id);
 	}
 }
 
@@ -137,7 +138,7 @@
 	query->target_name =
 		r->class->target == CONFIG_TARGET_MODEL ? "model" : "shop";
 	query->tier = r->class->tier;
-	query->patience = r->deadline - o->world->sim.now;
+	query->time_left = r->deadline - o->world->sim.now;
 	query->prompt_tokens = r->prompt;
 	query->answer_tokens =
 		(r->class->answer_least + r->class->answer_most) / 2;
@@ -157,7 +158,7 @@
 	m.u.reserve.account = r->account + 1;
 	m.u.reserve.tier = r->class->tier;
 	m.u.reserve.hops = p->hops;
-	m.u.reserve.time_left = query.patience;
+	m.u.reserve.time_left = query.time_left;
 	m.u.reserve.prompt_tokens = query.prompt_tokens;
 	m.u.reserve.answer_tokens = query.answer_tokens;
 	m.u.reserve.prefix_hash = query.prefix;
@@ -228,8 +229,8 @@
 		send_progress(o, r, p->owner);
 	else if (!p->answered)
 		send_reserve(o, r);
-	sim_at(&o->world->sim, o->world->sim.now + OWNER_PROGRESS, remind, o, r,
-	       id);
+	sim_at(&o->world->sim, o->world->sim.now + OWNER_PROGRESS_INTERVAL,
+	       remind, o, r, id);
 }
 
 static void submit(policy_t *policy, request_t *r)
@@ -251,7 +252,8 @@
 		return;
 	}
 	reserve_at(o, r, choice.endpoint, 0);
-	sim_at(&o->world->sim, now + OWNER_PROGRESS, remind, o, r, reqid(r).lo);
+	sim_at(&o->world->sim, now + OWNER_PROGRESS_INTERVAL, remind, o, r,
+	       reqid(r).lo);
 }
 
 static void granted(ours_t *o, uint32_t host, uint32_t from,
@@ -261,7 +263,7 @@
 	pimento_usec_t now = o->world->sim.now;
 	message_t m = { .kind = MESSAGE_RELEASE };
 
-	route_learn(&o->hosts[host].route, now, &grant->summary);
+	route_update_summary(&o->hosts[host].route, now, &grant->summary);
 	if (!r || r->state != REQUEST_ENTRY ||
 	    pending_of(o, r)->round != grant->round) {
 		if (r && pending_of(o, r)->round == grant->round)
@@ -275,8 +277,8 @@
 	}
 	pending_of(o, r)->epoch = grant->epoch;
 	world_dispatch(o->world, r, pending_of(o, r)->endpoint);
-	route_placed(&o->hosts[host].route, now, grant->summary.endpoint,
-		     r->prefix, r->prompt);
+	route_record_prefix(&o->hosts[host].route, now, grant->summary.endpoint,
+			    r->prefix, r->prompt);
 	r->job.made = 0;
 	send_progress(o, r, from);
 }
@@ -314,7 +316,8 @@
 {
 	request_t *r = request_of(o, wait->request);
 
-	route_learn(&o->hosts[host].route, o->world->sim.now, &wait->summary);
+	route_update_summary(&o->hosts[host].route, o->world->sim.now,
+			     &wait->summary);
 	if (r && pending_of(o, r)->round == wait->round) {
 		pending_of(o, r)->answered = true;
 		pending_of(o, r)->first_no = 0;
@@ -339,8 +342,8 @@
 		return;
 	case MESSAGE_DIGEST:
 		for (uint32_t i = 0; i < m->u.digest.count; i++)
-			route_learn(&o->hosts[host].route, now,
-				    &m->u.digest.summaries[i]);
+			route_update_summary(&o->hosts[host].route, now,
+					     &m->u.digest.summaries[i]);
 		return;
 	default:
 		owner_receive(&o->hosts[host].owner, now, from + 1, m);
@@ -361,10 +364,10 @@
 	pending_t *p = pending_of(o, r);
 	pimento_usec_t now = o->world->sim.now;
 
-	route_observe(&o->hosts[r->host].route, now,
-		      o->world->descriptions[p->endpoint].id, r->prompt,
-		      r->answer, r->first_token - r->dispatched,
-		      now - r->first_token);
+	route_record_answer(&o->hosts[r->host].route, now,
+			    o->world->descriptions[p->endpoint].id, r->prompt,
+			    r->answer, r->first_token - r->dispatched,
+			    now - r->first_token);
 	send_release(o, r, RELEASE_DONE);
 	p->active = false;
 }
@@ -392,8 +395,8 @@
 	for (uint32_t i = 0; i < w->hosts; i++) {
 		if (w->dead[i])
 			continue;
-		owner_report(&o->hosts[i].owner, w->sim.now,
-			     w->descriptions[endpoint].id, said);
+		owner_load_report(&o->hosts[i].owner, w->sim.now,
+				  w->descriptions[endpoint].id, said);
 		pump(o, i);
 	}
 }
@@ -421,7 +424,8 @@
 	assign(o, host);
 	for (uint32_t i = 0; i < w->hosts; i++)
 		if (!w->live[host][i])
-			owner_forget(&o->hosts[host].owner, w->sim.now, i + 1);
+			owner_entry_dead(&o->hosts[host].owner, w->sim.now,
+					 i + 1);
 	for (uint32_t i = 0; i < w->next_arrival; i++)
 		if (w->requests[i].host == host && o->pending[i].active)
 			move(o, &w->requests[i]);
@@ -435,8 +439,8 @@
 	pimento_id_t id = w->descriptions[endpoint].id;
 
 	for (uint32_t i = 0; i < w->hosts; i++) {
-		route_leaving(&o->hosts[i].route, id, true);
-		owner_leaving(&o->hosts[i].owner, w->sim.now, id);
+		route_set_leaving(&o->hosts[i].route, id, true);
+		owner_endpoint_leaving(&o->hosts[i].owner, w->sim.now, id);
 		pump(o, i);
 	}
 }
--- a/bench/slope_table.c
+++ b/bench/slope_table.c
@@ -135,7 +135,7 @@
 		config_endpoint_t e = slope_endpoint;
 
 		e.id = ID(i);
-		owner_take(owner, 0, &e, 1, 1.0);
+		owner_add_endpoint(owner, 0, &e, 1, 1.0);
 	}
 }
 
@@ -503,7 +503,7 @@
 	char *text = slope_config(endpoints, 20000, 1);
 	route_query_t query = { .target = CONFIG_TARGET_MODEL,
 				.target_name = "m0",
-				.patience = 60 * PIMENTO_SEC,
+				.time_left = 60 * PIMENTO_SEC,
 				.prompt_tokens = 500,
 				.answer_tokens = 230 };
 	problems_t problems;
--- a/io/exchange.h
+++ b/io/exchange.h
@@ -44,7 +44,8 @@
 	pimento_usec_t spent; /* by earlier attempts of its caller */
 	pimento_usec_t end; /* caller's deadline or route's timeout */
 
-	exchange_place_t lines[GRANTS_LINES]; /* asked for while it waits */
+	exchange_place_t
+		lines[GRANTS_QUEUES_MAX]; /* asked for while it waits */
 	uint32_t line_count;
 	uint64_t given; /* ticket of a place that was granted while asking */
 	exchange_place_t place; /* that it was given, for this attempt */
--- a/io/placing.c
+++ b/io/placing.c
@@ -121,7 +121,7 @@
 void placing_leave_lines(exchange_t *x)
 {
 	slots_t *slots = x->gateway->slots;
-	exchange_place_t left[GRANTS_LINES];
+	exchange_place_t left[GRANTS_QUEUES_MAX];
 	uint32_t count = 0;
 
 	while (x->line_count)
@@ -156,12 +156,12 @@
 {
 	gateway_t *gateway = x->gateway;
 	bool pumping = gateway->pumping;
-	grants_ask_t question = { .ticket = gateway_draw(gateway) | 1,
-				  .rank = x->wait.rank,
-				  .late = x->wait.overdue,
-				  .late_in = late_in(x, now),
-				  .wait = ASK_MOST + ASK_MARGIN,
-				  .ahead = now - x->wait.order_key };
+	grants_request_t question = { .ticket = gateway_draw(gateway) | 1,
+				      .rank = x->wait.rank,
+				      .overdue = x->wait.overdue,
+				      .overdue_in = late_in(x, now),
+				      .queue_timeout = ASK_MOST + ASK_MARGIN,
+				      .head_start = now - x->wait.order_key };
 
 	if (!x->line_count)
 		x->service->asks++;
@@ -211,7 +211,7 @@
 static placement_result_t place(exchange_t *x, bool in_line, pimento_usec_t now,
 				registry_endpoint_t **endpoint)
 {
-	pimento_id_t asked[GRANTS_LINES];
+	pimento_id_t asked[GRANTS_QUEUES_MAX];
 	placement_request_t request = request_of(x, now);
 
 	request.may_queue = in_line;
@@ -268,8 +268,8 @@
 static void take_anyway(exchange_t *x, registry_endpoint_t *endpoint,
 			pimento_usec_t now)
 {
-	grants_ask_t told = { .ticket = gateway_draw(x->gateway) | 1,
-			      .sure = true };
+	grants_request_t told = { .ticket = gateway_draw(x->gateway) | 1,
+				  .unconditional = true };
 
 	x->granted = false;
 	if (roster_hosts(x->gateway->roster, now) > 1) {
@@ -291,12 +291,12 @@
 	return STEP_MOVED;
 }
 
-/* Stands in the lines of the best endpoints, up to GRANTS_LINES. */
+/* Stands in the lines of the best endpoints, up to GRANTS_QUEUES_MAX. */
 static step_t stand_in_lines(exchange_t *x, pimento_usec_t now)
 {
 	registry_endpoint_t *endpoint = NULL;
 
-	while (x->line_count < GRANTS_LINES &&
+	while (x->line_count < GRANTS_QUEUES_MAX &&
 	       place(x, true, now, &endpoint) == PLACEMENT_FOUND &&
 	       is_owned(x, endpoint, now))
 		if (ask_for_place(x, endpoint, now) == STEP_MOVED)
@@ -359,7 +359,7 @@
 bool placing_sweep(exchange_t *x, pimento_usec_t now)
 {
 	slots_t *slots = x->gateway->slots;
-	exchange_place_t left[GRANTS_LINES];
+	exchange_place_t left[GRANTS_QUEUES_MAX];
 	uint32_t count = 0;
 
 	for (uint32_t i = x->line_count; i-- > 0;) {
--- a/io/slots.c
+++ b/io/slots.c
@@ -81,7 +81,7 @@
 	return word;
 }
 
-static void reply(slots_t *slots, const grants_ask_t *ask, bool granted,
+static void reply(slots_t *slots, const grants_request_t *ask, bool granted,
 		  pimento_usec_t now)
 {
 	packet_t packet = { .kind = PACKET_SLOT_REPLY };
@@ -136,31 +136,31 @@
 static void give_places(slots_t *slots, uint32_t key, pimento_usec_t now)
 {
 	const registry_endpoint_t *endpoint = endpoint_of(slots, key);
-	grants_ask_t ask;
+	grants_request_t ask;
 
 	if (!endpoint || !registry_endpoint_accepts_work(endpoint, now))
 		return;
 	if (endpoint->latency.ejected_until > now &&
 	    has_alternative(slots, endpoint, now))
 		return;
-	while (grants_next(&slots->grants, key, places_of(slots, endpoint, now),
-			   now, &ask)) {
+	while (grants_grant_next(&slots->grants, key,
+				 places_of(slots, endpoint, now), now, &ask)) {
 		slots->granted++;
 		reply(slots, &ask, true, now);
 	}
 }
 
-static bool is_granted(const slots_t *slots, const grants_ask_t *ask)
+static bool is_granted(const slots_t *slots, const grants_request_t *ask)
 {
 	return !grants_is_waiting(&slots->grants, ask);
 }
 
-static void take_ask(slots_t *slots, const grants_ask_t *ask,
+static void take_ask(slots_t *slots, const grants_request_t *ask,
 		     pimento_usec_t now)
 {
-	if (grants_ask(&slots->grants, ask, now))
+	if (grants_request(&slots->grants, ask, now))
 		return; /* no memory: who asks goes by its own view */
-	if (ask->sure)
+	if (ask->unconditional)
 		return;
 	give_places(slots, ask->endpoint, now);
 	if (!is_granted(slots, ask))
@@ -213,8 +213,8 @@
 	give_places(slots, release->endpoint, now);
 }
 
-void slots_ask(slots_t *slots, registry_endpoint_t *endpoint, grants_ask_t *ask,
-	       pimento_usec_t now)
+void slots_ask(slots_t *slots, registry_endpoint_t *endpoint,
+	       grants_request_t *ask, pimento_usec_t now)
 {
 	uint32_t owner = owner_of(slots, endpoint);
 	packet_t packet = { .kind = PACKET_SLOT_REQUEST };
@@ -298,7 +298,7 @@
 	if (!endpoint->running && !endpoint->reported_running)
 		return;
 	if (endpoint->reported_at &&
-	    now - endpoint->reported_at < GRANTS_REPORT_EVERY)
+	    now - endpoint->reported_at < GRANTS_REPORT_INTERVAL)
 		return;
 	endpoint->reported_at = now;
 	endpoint->reported_running = endpoint->running;
@@ -320,7 +320,7 @@
 
 		if (note->owned_count == ROSTER_OWNED_MAX ||
 		    owner_of(slots, e) != slots->self ||
-		    !grants_is_owned(&slots->grants, key))
+		    !grants_has_endpoint(&slots->grants, key))
 			continue;
 		note->owned[note->owned_count++] = (roster_owned_t){
 			.endpoint = key,
@@ -377,10 +377,10 @@
 		uint32_t key = (uint32_t)e->key;
 		bool owner = owner_of(slots, e) == slots->self;
 
-		if (owner || grants_is_asked(&slots->grants, key, now))
+		if (owner || grants_is_requested(&slots->grants, key, now))
 			keep_endpoint(slots, e, owner, now);
 		else
-			grants_forget(&slots->grants, key);
+			grants_remove_endpoint(&slots->grants, key);
 		if (!owner)
 			report(slots, e, now);
 	}
--- a/io/slots.h
+++ b/io/slots.h
@@ -33,8 +33,8 @@
 void slots_finish(slots_t *slots);
 
 /* Asks the endpoint's owner; its answer comes by replied(), maybe at once. */
-void slots_ask(slots_t *slots, registry_endpoint_t *endpoint, grants_ask_t *ask,
-	       pimento_usec_t now);
+void slots_ask(slots_t *slots, registry_endpoint_t *endpoint,
+	       grants_request_t *ask, pimento_usec_t now);
 /* The request is over; ticket, gap and failure are the caller's to fill. */
 void slots_release(slots_t *slots, registry_endpoint_t *endpoint,
 		   const packet_slot_release_t *release, pimento_usec_t now);
--- a/src/endpoint.c
+++ b/src/endpoint.c
@@ -80,7 +80,7 @@
 {
 	uint32_t mean = (uint32_t)(e->running_tokens / e->running);
 
-	return limit_service(&e->limit, 0, 0, mean) / e->running;
+	return limit_service_span(&e->limit, 0, 0, mean) / e->running;
 }
 
 uint32_t endpoint_tier_slots(const owner_endpoint_t *e, pimento_usec_t now,
@@ -105,7 +105,7 @@
 
 static uint64_t request_tokens(const reservation_t *r)
 {
-	return (uint64_t)r->asked.prompt_tokens + r->asked.answer_tokens;
+	return (uint64_t)r->params.prompt_tokens + r->params.answer_tokens;
 }
 
 /* Of two owners on the sides of a cut each fills only its slot_share. */
@@ -124,11 +124,11 @@
 
 static uint32_t remaining_tokens(const reservation_t *r)
 {
-	uint32_t least = r->asked.answer_tokens / REMAINING_TOKENS_DIVISOR;
+	uint32_t least = r->params.answer_tokens / REMAINING_TOKENS_DIVISOR;
 
-	if (r->answered + least >= r->asked.answer_tokens)
+	if (r->answer_tokens + least >= r->params.answer_tokens)
 		return least;
-	return r->asked.answer_tokens - r->answered;
+	return r->params.answer_tokens - r->answer_tokens;
 }
 
 /*
@@ -144,7 +144,7 @@
 
 		if (!r->item.deadline || r->item.tier > tier)
 			continue;
-		left -= limit_making(&e->limit, remaining_tokens(r));
+		left -= limit_decode_span(&e->limit, remaining_tokens(r));
 		if (left > 0 &&
 		    (double)left < (double)reading * PREFILL_SLACK_FACTOR)
 			return false;
@@ -155,15 +155,16 @@
 static bool prefill_fits(const owner_endpoint_t *e, pimento_usec_t now,
 			 const reservation_t *r)
 {
-	uint32_t prompt = r->asked.prompt_tokens;
+	uint32_t prompt = r->params.prompt_tokens;
 
 	if (!r->item.tier || !prompt)
 		return true;
-	if (limit_reading(&e->limit, e->prefill_tokens, 0) > PREFILL_QUEUE_MAX)
+	if (limit_prefill_span(&e->limit, e->prefill_tokens, 0) >
+	    PREFILL_QUEUE_MAX)
 		return false;
 	return slack_allows_prefill(
 		e, now, r->item.tier,
-		limit_reading(&e->limit, e->prefill_tokens, prompt));
+		limit_prefill_span(&e->limit, e->prefill_tokens, prompt));
 }
 
 bool endpoint_fits(const owner_endpoint_t *e, pimento_usec_t now,
@@ -184,7 +185,7 @@
 bool endpoint_speed_measured(const owner_endpoint_t *e)
 {
 	if (e->config.target == CONFIG_TARGET_SERVICE)
-		return e->limit.served > 0;
+		return e->limit.service_samples > 0;
 	return limit_decode_rate(&e->limit) > 0;
 }
 
@@ -202,13 +203,14 @@
 	if (e->config.target == CONFIG_TARGET_SERVICE)
 		return endpoint_speed_measured(e)
 			       ? (pimento_usec_t)(SERVICE_TIME_MARGIN *
-						  limit_service(limit, 0, 0, 0))
+						  limit_service_span(limit, 0,
+								     0, 0))
 			       : 0;
 	if (limit_prefill_rate(limit) > 0)
-		span += (double)limit_reading(limit, e->prefill_tokens,
-					      asked->prompt_tokens);
+		span += (double)limit_prefill_span(limit, e->prefill_tokens,
+						   asked->prompt_tokens);
 	if (limit_decode_rate(limit) > 0)
-		span += (double)limit_making(limit, asked->answer_tokens) *
+		span += (double)limit_decode_span(limit, asked->answer_tokens) *
 			BATCHED_DECODE_SLOWDOWN;
 	return (pimento_usec_t)span;
 }
@@ -228,7 +230,7 @@
 	if (now < e->memory_full_until)
 		wait += FULL_WAIT_ESTIMATE;
 	if (tier)
-		wait += limit_reading(&e->limit, e->prefill_tokens, 0);
+		wait += limit_prefill_span(&e->limit, e->prefill_tokens, 0);
 	if (e->running && e->running >= endpoint_tier_slots(e, now, tier))
 		wait += next_slot_wait(e);
 	return wait;
@@ -248,18 +250,18 @@
 void endpoint_add_reservation(owner_endpoint_t *e, pimento_usec_t now,
 			      reservation_t *r)
 {
-	r->ahead = e->prefill_tokens;
-	r->granted = now;
+	r->prefill_ahead = e->prefill_tokens;
+	r->granted_at = now;
 	r->newer = NULL;
 	r->older = e->in_flight;
 	if (e->in_flight)
 		e->in_flight->newer = r;
 	e->in_flight = r;
 	e->running++;
-	e->running_tokens += r->asked.answer_tokens;
+	e->running_tokens += r->params.answer_tokens;
 	e->in_flight_tokens += request_tokens(r);
-	if (!r->first_token)
-		e->prefill_tokens += r->asked.prompt_tokens;
+	if (!r->has_first_token)
+		e->prefill_tokens += r->params.prompt_tokens;
 	update_peak(e, now);
 }
 
@@ -279,10 +281,10 @@
 
 void endpoint_prefill_done(owner_endpoint_t *e, reservation_t *r)
 {
-	if (r->first_token)
+	if (r->has_first_token)
 		return;
-	r->first_token = true;
-	e->prefill_tokens -= r->asked.prompt_tokens;
+	r->has_first_token = true;
+	e->prefill_tokens -= r->params.prompt_tokens;
 }
 
 /*
@@ -296,10 +298,11 @@
 {
 	limit_load_t load = endpoint_load(e);
 
-	if (e->config.target != CONFIG_TARGET_MODEL || r->first_token)
+	if (e->config.target != CONFIG_TARGET_MODEL || r->has_first_token)
 		return;
-	if (limit_silent(&e->limit, now, r->ahead + r->asked.prompt_tokens,
-			 now - r->granted, &load))
+	if (limit_check_first_token(&e->limit, now,
+				    r->prefill_ahead + r->params.prompt_tokens,
+				    now - r->granted_at, &load))
 		e->memory_full_until = now + FULL_HOLD_TIME;
 }
 
@@ -307,7 +310,7 @@
 			      uint32_t answered)
 {
 	e->running_tokens -= remaining_tokens(r);
-	r->answered = answered;
+	r->answer_tokens = answered;
 	e->running_tokens += remaining_tokens(r);
 }
 
@@ -331,7 +334,7 @@
 	summary->running = e->running;
 	summary->limit = endpoint_tier_slots(e, now, 0);
 	summary->running_tokens = (uint32_t)e->running_tokens;
-	summary->token_limit = (uint32_t)e->limit.tokens;
+	summary->token_limit = (uint32_t)e->limit.token_limit;
 	for (uint8_t i = 0; i < PIMENTO_TIERS_MAX; i++) {
 		summary->waiting[i] = e->queue.tiers[i].count;
 		summary->wait_ms[i] = (uint32_t)(endpoint_wait_time(e, now, i) /
@@ -340,7 +343,7 @@
 	summary->waiting_tokens = e->prefill_tokens;
 	summary->prefill_rate = (float)limit_prefill_rate(&e->limit);
 	summary->decode_rate = (float)limit_decode_rate(&e->limit);
-	if (e->limit.service > 0) /* a service: answers a second */
-		summary->decode_rate = (float)(1 / e->limit.service);
+	if (e->limit.service_mean > 0) /* a service: answers a second */
+		summary->decode_rate = (float)(1 / e->limit.service_mean);
 	summary->leaving = e->leaving;
 }
--- a/src/entry.c
+++ b/src/entry.c
@@ -11,7 +11,7 @@
 #include <string.h>
 
 /* Between two renewals of a slot's lease at its owner. */
-#define PROGRESS_PERIOD OWNER_PROGRESS
+#define PROGRESS_PERIOD OWNER_PROGRESS_INTERVAL
 /* A broken stream is resumed this often, with growing delays. */
 #define RESUMES_MAX 40
 #define RESUME_DELAY (50 * PIMENTO_MSEC)
@@ -299,8 +299,9 @@
 	entry->sent = now;
 	entry->told = now;
 	table->counters.dispatched++;
-	route_placed(table->route, now, entry->endpoint, entry->request.prefix,
-		     entry->request.prompt_tokens);
+	route_record_prefix(table->route, now, entry->endpoint,
+			    entry->request.prefix,
+			    entry->request.prompt_tokens);
 	entry_tell_progress(table, now, entry);
 	entry_wake(table, entry, now + PROGRESS_PERIOD);
 	return PIMENTO_OK;
@@ -345,7 +346,7 @@
 static void on_unreachable(entry_table_t *table, pimento_usec_t now,
 			   entry_t *entry)
 {
-	route_failed(table->route, now, entry->endpoint);
+	route_endpoint_failed(table->route, now, entry->endpoint);
 	entry_release(table, entry, RELEASE_UNUSED);
 	if (table->budget < 1) {
 		entry_give_up(table, now, entry, PIMENTO_EUNREACHABLE, 0);
@@ -361,10 +362,10 @@
 {
 	if (!entry->first_token || !entry->sent)
 		return;
-	route_observe(table->route, now, entry->endpoint,
-		      entry->request.prompt_tokens, entry->tokens,
-		      entry->first_token - entry->sent,
-		      entry->last_token - entry->first_token);
+	route_record_answer(table->route, now, entry->endpoint,
+			    entry->request.prompt_tokens, entry->tokens,
+			    entry->first_token - entry->sent,
+			    entry->last_token - entry->first_token);
 }
 
 /*
--- a/src/entry_reserve.c
+++ b/src/entry_reserve.c
@@ -73,12 +73,12 @@
 					     : CONFIG_TARGET_SERVICE;
 	query->target_name = entry->request.target;
 	query->tier = entry->request.tier;
-	query->patience = entry->deadline - now;
+	query->time_left = entry->deadline - now;
 	query->prompt_tokens = entry->request.prompt_tokens;
 	query->answer_tokens = entry->request.answer_tokens;
 	query->prefix = entry->request.prefix;
 	query->avoid = entry->retry.refused;
-	query->avoid_count = entry->retry.count;
+	query->avoid_count = entry->retry.refused_count;
 }
 
 /*
@@ -109,10 +109,10 @@
 		error = route_pick(table->route, now, &query, &choice);
 	if (!error) {
 		ask(table, now, entry, choice.endpoint,
-		    (uint8_t)entry->retry.count);
+		    (uint8_t)entry->retry.refused_count);
 		return;
 	}
-	if (error == PIMENTO_EUNREACHABLE && !entry->retry.count &&
+	if (error == PIMENTO_EUNREACHABLE && !entry->retry.refused_count &&
 	    wait_unreached(table, now, entry))
 		return;
 	if (entry->retry.reason)
@@ -149,7 +149,7 @@
  */
 void entry_unreached(entry_table_t *table, pimento_usec_t now, entry_t *entry)
 {
-	pimento_id_t avoid[ROUTE_VISITS_MAX + 1];
+	pimento_id_t avoid[ROUTE_ATTEMPTS_MAX + 1];
 	route_query_t query;
 	route_choice_t choice;
 
@@ -160,7 +160,7 @@
 	if (now < entry->deadline &&
 	    !route_pick(table->route, now, &query, &choice)) {
 		ask(table, now, entry, choice.endpoint,
-		    (uint8_t)entry->retry.count);
+		    (uint8_t)entry->retry.refused_count);
 		return;
 	}
 	entry->state = ENTRY_RESERVING;
@@ -351,15 +351,18 @@
 {
 	switch (message->kind) {
 	case MESSAGE_GRANT:
-		route_learn(table->route, now, &message->u.grant.summary);
+		route_update_summary(table->route, now,
+				     &message->u.grant.summary);
 		take_grant(table, now, from, &message->u.grant);
 		return PIMENTO_OK;
 	case MESSAGE_WAIT:
-		route_learn(table->route, now, &message->u.wait.summary);
+		route_update_summary(table->route, now,
+				     &message->u.wait.summary);
 		take_wait(table, now, from, &message->u.wait);
 		return PIMENTO_OK;
 	case MESSAGE_REFUSE:
-		route_learn(table->route, now, &message->u.refuse.summary);
+		route_update_summary(table->route, now,
+				     &message->u.refuse.summary);
 		take_refuse(table, now, from, &message->u.refuse);
 		return PIMENTO_OK;
 	case MESSAGE_WITNESS:
--- a/src/grants.c
+++ b/src/grants.c
@@ -8,15 +8,15 @@
 
 #include <stdlib.h>
 
-/* A report may have been written before a grant this young reached its host. */
-#define GRANT_IN_FLIGHT (300 * PIMENTO_MSEC)
+/* A report may have been written before a grant this unconfirmed reached its host. */
+#define GRANT_DELIVERY_MAX (300 * PIMENTO_MSEC)
 
 /*
  * Hosts notice a death up to some seconds apart. One that is asked for slots
  * keeps count before it knows that it is the owner; it would else grant all of
  * them anew at each tick.
  */
-#define ASKED_LATELY (3 * PIMENTO_SEC)
+#define REQUESTED_RECENTLY_SPAN (3 * PIMENTO_SEC)
 
 void grants_init(grants_t *grants)
 {
@@ -74,7 +74,7 @@
 	return &e->entries[e->count++];
 }
 
-static void drop(grants_endpoint_t *e, uint32_t index)
+static void remove_entry(grants_endpoint_t *e, uint32_t index)
 {
 	if (e->entries[index].granted)
 		e->granted--;
@@ -83,32 +83,33 @@
 	e->entries[index] = e->entries[--e->count];
 }
 
-int grants_ask(grants_t *grants, const grants_ask_t *ask, pimento_usec_t now)
+int grants_request(grants_t *grants, const grants_request_t *request,
+		   pimento_usec_t now)
 {
-	grants_endpoint_t *e = find_or_add(grants, ask->endpoint);
+	grants_endpoint_t *e = find_or_add(grants, request->endpoint);
 	grants_entry_t *entry = e ? add_entry(e) : NULL;
 
 	if (!entry)
 		return PIMENTO_ENOMEM;
-	e->asked_at = now;
-	*entry = (grants_entry_t){ .ask = *ask,
-				   .granted = ask->sure,
+	e->requested_at = now;
+	*entry = (grants_entry_t){ .request = *request,
+				   .granted = request->unconditional,
 				   .since = now,
 				   .renewed_at = now };
-	if (ask->sure)
+	if (request->unconditional)
 		e->granted++;
 	else
 		e->waiting++;
 	return 0;
 }
 
-bool grants_is_waiting(const grants_t *grants, const grants_ask_t *ask)
+bool grants_is_waiting(const grants_t *grants, const grants_request_t *request)
 {
-	const grants_endpoint_t *e = find(grants, ask->endpoint);
+	const grants_endpoint_t *e = find(grants, request->endpoint);
 
 	for (uint32_t i = 0; e && i < e->count; i++)
-		if (e->entries[i].ask.ticket == ask->ticket &&
-		    e->entries[i].ask.address == ask->address)
+		if (e->entries[i].request.ticket == request->ticket &&
+		    e->entries[i].request.address == request->address)
 			return !e->entries[i].granted;
 	return false;
 }
@@ -136,10 +137,10 @@
 	grants_foreign_t *foreign;
 
 	for (uint32_t i = 0; e && i < e->count; i++) {
-		const grants_ask_t *ask = &e->entries[i].ask;
+		const grants_request_t *request = &e->entries[i].request;
 
-		if (ask->ticket == ticket && ask->address == address) {
-			drop(e, i);
+		if (request->ticket == ticket && request->address == address) {
+			remove_entry(e, i);
 			return;
 		}
 	}
@@ -149,9 +150,9 @@
 }
 
 /* Its place in the order among equals, on this host's clock. */
-static pimento_usec_t order_at(const grants_entry_t *entry)
+static pimento_usec_t order_time(const grants_entry_t *entry)
 {
-	return entry->since - entry->ask.ahead;
+	return entry->since - entry->request.head_start;
 }
 
 /*
@@ -160,23 +161,23 @@
  * that has waited longest would get the place just too late, one after the
  * other, while those behind it could still be on time.
  */
-static bool is_late(const grants_entry_t *entry, pimento_usec_t now)
+static bool is_overdue(const grants_entry_t *entry, pimento_usec_t now)
 {
-	const grants_ask_t *ask = &entry->ask;
+	const grants_request_t *request = &entry->request;
 
-	return ask->late ||
-	       (ask->late_in && now - entry->since >= ask->late_in);
+	return request->overdue || (request->overdue_in &&
+				    now - entry->since >= request->overdue_in);
 }
 
 /* True if a goes before b: on time, then urgent, then as its host orders. */
-static bool goes_before(const grants_entry_t *a, const grants_entry_t *b,
-			pimento_usec_t now)
+static bool precedes(const grants_entry_t *a, const grants_entry_t *b,
+		     pimento_usec_t now)
 {
-	if (is_late(a, now) != is_late(b, now))
-		return is_late(b, now);
-	if (a->ask.rank != b->ask.rank)
-		return a->ask.rank < b->ask.rank;
-	return order_at(a) < order_at(b);
+	if (is_overdue(a, now) != is_overdue(b, now))
+		return is_overdue(b, now);
+	if (a->request.rank != b->request.rank)
+		return a->request.rank < b->request.rank;
+	return order_time(a) < order_time(b);
 }
 
 static void drop_expired(grants_endpoint_t *e, pimento_usec_t now)
@@ -184,8 +185,9 @@
 	for (uint32_t i = e->count; i-- > 0;) {
 		const grants_entry_t *entry = &e->entries[i];
 
-		if (!entry->granted && now - entry->since > entry->ask.wait)
-			drop(e, i);
+		if (!entry->granted &&
+		    now - entry->since > entry->request.queue_timeout)
+			remove_entry(e, i);
 	}
 }
 
@@ -196,15 +198,14 @@
 	for (uint32_t i = 0; i < e->count; i++) {
 		grants_entry_t *entry = &e->entries[i];
 
-		if (!entry->granted &&
-		    (!first || goes_before(entry, first, now)))
+		if (!entry->granted && (!first || precedes(entry, first, now)))
 			first = entry;
 	}
 	return first;
 }
 
-bool grants_next(grants_t *grants, uint32_t endpoint, uint32_t places,
-		 pimento_usec_t now, grants_ask_t *granted)
+bool grants_grant_next(grants_t *grants, uint32_t endpoint, uint32_t slots,
+		       pimento_usec_t now, grants_request_t *granted)
 {
 	grants_endpoint_t *e = find(grants, endpoint);
 	grants_entry_t *first;
@@ -213,14 +214,14 @@
 		return false;
 	drop_expired(e, now);
 	first = first_waiting(e, now);
-	if (!first || e->granted + e->foreign_running >= places)
+	if (!first || e->granted + e->foreign_running >= slots)
 		return false;
 	first->granted = true;
 	first->since = now;
 	first->renewed_at = now;
 	e->granted++;
 	e->waiting--;
-	*granted = first->ask;
+	*granted = first->request;
 	return true;
 }
 
@@ -245,24 +246,24 @@
 static uint32_t renew(grants_endpoint_t *e, uint32_t address, uint32_t running,
 		      pimento_usec_t now)
 {
-	uint32_t young = 0;
-	uint32_t old = 0;
+	uint32_t unconfirmed = 0;
+	uint32_t renewed = 0;
 
 	for (uint32_t i = e->count; i-- > 0;) {
 		grants_entry_t *entry = &e->entries[i];
 
-		if (entry->ask.address != address || !entry->granted)
+		if (entry->request.address != address || !entry->granted)
 			continue;
-		if (now - entry->since < GRANT_IN_FLIGHT) {
-			young++;
-		} else if (old >= running) {
-			drop(e, i);
+		if (now - entry->since < GRANT_DELIVERY_MAX) {
+			unconfirmed++;
+		} else if (renewed >= running) {
+			remove_entry(e, i);
 		} else {
 			entry->renewed_at = now;
-			old++;
+			renewed++;
 		}
 	}
-	return young + old;
+	return unconfirmed + renewed;
 }
 
 int grants_report(grants_t *grants, uint32_t endpoint, uint32_t address,
@@ -270,18 +271,19 @@
 {
 	grants_endpoint_t *e = find_or_add(grants, endpoint);
 	grants_foreign_t *foreign;
-	uint32_t own;
+	uint32_t granted_here;
 
 	if (!e)
 		return PIMENTO_ENOMEM;
-	own = renew(e, address, running, now);
+	granted_here = renew(e, address, running, now);
 	foreign = foreign_of(e, address);
-	if (!foreign && running > own)
+	if (!foreign && running > granted_here)
 		foreign = add_foreign(e, address);
 	if (!foreign)
-		return running > own ? PIMENTO_ENOMEM : 0;
+		return running > granted_here ? PIMENTO_ENOMEM : 0;
 	foreign->reported_at = now;
-	set_foreign(e, foreign, running > own ? running - own : 0);
+	set_foreign(e, foreign,
+		    running > granted_here ? running - granted_here : 0);
 	return 0;
 }
 
@@ -307,20 +309,21 @@
 		const grants_entry_t *entry = &e->entries[i];
 
 		if (entry->granted && now - entry->renewed_at > GRANTS_LEASE)
-			drop(e, i);
+			remove_entry(e, i);
 	}
 	expire_foreign(e, now);
 }
 
-bool grants_is_asked(const grants_t *grants, uint32_t endpoint,
-		     pimento_usec_t now)
+bool grants_is_requested(const grants_t *grants, uint32_t endpoint,
+			 pimento_usec_t now)
 {
 	const grants_endpoint_t *e = find(grants, endpoint);
 
-	return e && e->asked_at && now - e->asked_at < ASKED_LATELY;
+	return e && e->requested_at &&
+	       now - e->requested_at < REQUESTED_RECENTLY_SPAN;
 }
 
-void grants_forget(grants_t *grants, uint32_t endpoint)
+void grants_remove_endpoint(grants_t *grants, uint32_t endpoint)
 {
 	grants_endpoint_t *e = find(grants, endpoint);
 
@@ -330,7 +333,7 @@
 	*e = grants->endpoints[--grants->count];
 }
 
-bool grants_is_owned(const grants_t *grants, uint32_t endpoint)
+bool grants_has_endpoint(const grants_t *grants, uint32_t endpoint)
 {
 	return find(grants, endpoint) != NULL;
 }
--- a/src/host.c
+++ b/src/host.c
@@ -170,19 +170,19 @@
 
 	endpoint->owner = owner;
 	if (was_ours && !is_ours)
-		owner_drop(&host->owner, now, id);
+		owner_remove_endpoint(&host->owner, now, id);
 	if (is_ours && (!was_ours || endpoint->share != share)) {
 		if (!was_ours)
 			endpoint->epoch = new_epoch(host, now);
 		endpoint->share = share;
-		owner_take(&host->owner, now, endpoint->config, endpoint->epoch,
-			   share);
+		owner_add_endpoint(&host->owner, now, endpoint->config,
+				   endpoint->epoch, share);
 	}
-	route_leaving(&host->route, id, leaving);
+	route_set_leaving(&host->route, id, leaving);
 	if (is_ours && leaving)
-		owner_leaving(&host->owner, now, id);
+		owner_endpoint_leaving(&host->owner, now, id);
 	if (is_ours && !leaving)
-		owner_returned(&host->owner, now, id);
+		owner_endpoint_restarted(&host->owner, now, id);
 }
 
 /* Rendezvous over the hosts in sight; each host does this by itself. */
@@ -215,7 +215,8 @@
 
 		if (old->owner == host->self &&
 		    !pimento_config_endpoint(config, old->config->id))
-			owner_drop(&host->owner, now, old->config->id);
+			owner_remove_endpoint(&host->owner, now,
+					      old->config->id);
 	}
 }
 
@@ -461,7 +462,7 @@
 			const message_digest_t *digest)
 {
 	for (uint32_t i = 0; i < digest->count; i++)
-		route_learn(&host->route, now, &digest->summaries[i]);
+		route_update_summary(&host->route, now, &digest->summaries[i]);
 }
 
 static int receive(pimento_host_t *host, pimento_usec_t now, pimento_id_t from,
@@ -530,7 +531,7 @@
 				 .leaving = leaving };
 
 	host->now = now;
-	owner_report(&host->owner, now, endpoint, &report);
+	owner_load_report(&host->owner, now, endpoint, &report);
 	if (leaving)
 		member_endpoint_leaving(&host->member, now, endpoint,
 					incarnation);
--- a/src/limit.h
+++ b/src/limit.h
@@ -11,23 +11,23 @@
 typedef struct limit {
 	config_target_t target;
 	uint32_t requests_max; /* the configuration's cap */
-	double requests; /* learnt, between 1 and requests_max */
-	double tokens; /* learnt, of prompts and answers; 0 no limit yet */
+	double request_limit; /* learnt, between 1 and requests_max */
+	double token_limit; /* learnt, of prompts and answers; 0 no limit yet */
 	double prefill_tokens; /* sums that decay, of first-token samples */
 	double prefill_seconds;
-	double gap; /* seconds between tokens, 0 unknown */
-	double gap_best; /* least that it has been lately: no prompt is read */
-	double prefill_best; /* most that the prefill rate has been lately */
-	double service; /* seconds of a plain service's answer, 0 unknown */
-	double service_best; /* least that it has been lately */
-	uint32_t served; /* samples of it */
-	pimento_usec_t changed; /* when requests last went down */
-	pimento_usec_t full; /* when tokens last changed */
+	double token_gap; /* seconds between tokens, 0 unknown */
+	double token_gap_min; /* least that it has been lately: no prompt is read */
+	double prefill_rate_max; /* most that the prefill rate has been lately */
+	double service_mean; /* seconds of a plain service's answer, 0 unknown */
+	double service_min; /* least that it has been lately */
+	uint32_t service_samples; /* samples of it */
+	pimento_usec_t requests_decreased_at; /* when requests last went down */
+	pimento_usec_t tokens_changed_at; /* when tokens last changed */
 } limit_t;
 
 void limit_init(limit_t *limit, config_target_t target, uint32_t concurrency);
 /* The configuration changed the cap; what was learnt stays. */
-void limit_cap(limit_t *limit, uint32_t concurrency);
+void limit_set_concurrency(limit_t *limit, uint32_t concurrency);
 
 /* What is in flight at an endpoint. */
 typedef struct limit_load {
@@ -39,28 +39,30 @@
  * A first token came after span; tokens counts the prompt and all prompts that
  * were ahead of it at the endpoint.
  */
-void limit_first_token(limit_t *limit, pimento_usec_t now, uint32_t tokens,
-		       pimento_usec_t span, const limit_load_t *load);
+void limit_observe_first_token(limit_t *limit, pimento_usec_t now,
+			       uint32_t tokens, pimento_usec_t span,
+			       const limit_load_t *load);
 
 /*
  * No first token yet after span. Returns true if that is so long that the
  * request can have no place in the batch: the endpoint is full of tokens.
  */
-bool limit_silent(limit_t *limit, pimento_usec_t now, uint32_t tokens,
-		  pimento_usec_t span, const limit_load_t *load);
+bool limit_check_first_token(limit_t *limit, pimento_usec_t now,
+			     uint32_t tokens, pimento_usec_t span,
+			     const limit_load_t *load);
 
 /* True if so many tokens may be in flight. */
 bool limit_tokens_fit(const limit_t *limit, uint64_t tokens);
 
 /* tokens more came in span, of one stream. */
-void limit_decoded(limit_t *limit, uint32_t tokens, pimento_usec_t span);
+void limit_observe_decode(limit_t *limit, uint32_t tokens, pimento_usec_t span);
 
 /* A plain service answered after span, with running requests in flight. */
-void limit_served(limit_t *limit, pimento_usec_t now, pimento_usec_t span,
-		  const limit_load_t *load);
+void limit_observe_service(limit_t *limit, pimento_usec_t now,
+			   pimento_usec_t span, const limit_load_t *load);
 
 /* The endpoint failed a request that it had taken. */
-void limit_failed(limit_t *limit, pimento_usec_t now);
+void limit_observe_failure(limit_t *limit, pimento_usec_t now);
 
 /* Prompt tokens a second, and tokens a second of one stream; 0 unknown. */
 double limit_prefill_rate(const limit_t *limit);
@@ -73,13 +75,13 @@
  * Span that a prompt takes to be read with ahead tokens in front, and that the
  * rest of an answer takes if no prompt is read meanwhile.
  */
-pimento_usec_t limit_reading(const limit_t *limit, uint32_t ahead,
-			     uint32_t prompt);
-pimento_usec_t limit_making(const limit_t *limit, uint32_t answer);
+pimento_usec_t limit_prefill_span(const limit_t *limit, uint32_t ahead,
+				  uint32_t prompt);
+pimento_usec_t limit_decode_span(const limit_t *limit, uint32_t answer);
 
 /* Span from dispatch to whole answer with ahead prompt tokens in front. */
-pimento_usec_t limit_service(const limit_t *limit, uint32_t ahead,
-			     uint32_t prompt, uint32_t answer);
+pimento_usec_t limit_service_span(const limit_t *limit, uint32_t ahead,
+				  uint32_t prompt, uint32_t answer);
 
 /*
  * Part of the endpoint's time that a request uses up: prompts are read one
--- a/src/owner.c
+++ b/src/owner.c
@@ -13,13 +13,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define RETRY_LEAST (100 * PIMENTO_MSEC)
-#define RETRY_MOST (60 * PIMENTO_SEC)
-#define ENDPOINTS_FIRST 8
-#define GIVE_UP_SPAN (100 * PIMENTO_MSEC) /* for all last visits */
+#define RETRY_AFTER_MIN (100 * PIMENTO_MSEC)
+#define RETRY_AFTER_MAX (60 * PIMENTO_SEC)
+#define ENDPOINTS_INITIAL 8
+#define REFUSAL_MARGIN (100 * PIMENTO_MSEC) /* for all last visits */
 
 /* Waiting takes longer than it seems: what is more urgent still comes. */
-#define WAIT_MARGIN 1.25
+#define WAIT_ESTIMATE_FACTOR 1.25
 
 int owner_init(owner_t *owner, const owner_options_t *options, outbox_t *out)
 {
@@ -27,7 +27,7 @@
 	owner->options = *options;
 	owner->out = out;
 	pimento_random_init(&owner->random, options->seed);
-	heap_init(&owner->due, offsetof(reservation_t, place_due));
+	heap_init(&owner->due, offsetof(reservation_t, due_index));
 	return reservation_table_init(&owner->reservations);
 }
 
@@ -39,7 +39,7 @@
 	return NULL;
 }
 
-static uint32_t weight_of(const owner_t *owner, pimento_id_t account)
+static uint32_t account_weight(const owner_t *owner, pimento_id_t account)
 {
 	uint32_t low = 0;
 	uint32_t high = owner->account_count;
@@ -57,7 +57,7 @@
 	return 1;
 }
 
-static int account_order(const void *a, const void *b)
+static int compare_accounts(const void *a, const void *b)
 {
 	const owner_account_t *left = a;
 	const owner_account_t *right = b;
@@ -78,7 +78,7 @@
 		if (!accounts[i].weight)
 			accounts[i].weight = 1;
 	}
-	qsort(accounts, n, sizeof(*accounts), account_order);
+	qsort(accounts, n, sizeof(*accounts), compare_accounts);
 	free(owner->accounts);
 	owner->accounts = accounts;
 	owner->account_count = n;
@@ -90,8 +90,8 @@
 {
 	message_t m = { .kind = MESSAGE_WAIT };
 
-	m.u.wait.request = r->asked.request;
-	m.u.wait.round = r->asked.round;
+	m.u.wait.request = r->params.request;
+	m.u.wait.round = r->params.round;
 	m.u.wait.expected_wait =
 		endpoint_wait_time(r->endpoint, now, r->item.tier);
 	endpoint_fill_summary(r->endpoint, now, &m.u.wait.summary);
@@ -103,8 +103,8 @@
 {
 	message_t m = { .kind = MESSAGE_GRANT };
 
-	m.u.grant.request = r->asked.request;
-	m.u.grant.round = r->asked.round;
+	m.u.grant.request = r->params.request;
+	m.u.grant.round = r->params.round;
 	m.u.grant.epoch = r->endpoint->epoch;
 	m.u.grant.lifetime = r->due - now;
 	endpoint_fill_summary(r->endpoint, now, &m.u.grant.summary);
@@ -116,7 +116,7 @@
  * less urgent work waiting, which has to go first, or with the shortest line.
  */
 static pimento_id_t elsewhere(const owner_t *owner, pimento_usec_t now,
-			      const owner_endpoint_t *not_here, uint8_t tier)
+			      const owner_endpoint_t *refusing, uint8_t tier)
 {
 	pimento_usec_t best = PIMENTO_NEVER;
 	pimento_id_t found = 0;
@@ -125,8 +125,8 @@
 		const owner_endpoint_t *e = owner->endpoints[i];
 		pimento_usec_t wait;
 
-		if (e == not_here || e->leaving ||
-		    !endpoint_same_target(e, not_here))
+		if (e == refusing || e->leaving ||
+		    !endpoint_same_target(e, refusing))
 			continue;
 		wait = endpoint_wait_time(e, now, tier);
 		if (wait < best) {
@@ -142,29 +142,29 @@
 {
 	pimento_usec_t wait = e ? endpoint_wait_time(e, now, tier) : 0;
 
-	if (wait < RETRY_LEAST)
-		wait = RETRY_LEAST;
-	if (wait > RETRY_MOST)
-		wait = RETRY_MOST;
+	if (wait < RETRY_AFTER_MIN)
+		wait = RETRY_AFTER_MIN;
+	if (wait > RETRY_AFTER_MAX)
+		wait = RETRY_AFTER_MAX;
 	/* Spread, or all who are refused now come back together. */
 	return wait + (pimento_usec_t)(pimento_random_unit(&owner->random) *
 				       (double)wait);
 }
 
 static void send_refuse(owner_t *owner, pimento_usec_t now, pimento_id_t to,
-			const message_reserve_t *asked, owner_endpoint_t *e,
+			const message_reserve_t *params, owner_endpoint_t *e,
 			int reason)
 {
 	message_t m = { .kind = MESSAGE_REFUSE };
 	message_refuse_t *refuse = &m.u.refuse;
 
-	refuse->request = asked->request;
-	refuse->round = asked->round;
+	refuse->request = params->request;
+	refuse->round = params->round;
 	refuse->reason = reason;
-	refuse->retry_after = retry_after(owner, now, e, asked->tier);
+	refuse->retry_after = retry_after(owner, now, e, params->tier);
 	if (e) {
 		refuse->alternative_endpoint =
-			elsewhere(owner, now, e, asked->tier);
+			elsewhere(owner, now, e, params->tier);
 		endpoint_fill_summary(e, now, &refuse->summary);
 	}
 	outbox_put(owner->out, to, &m);
@@ -186,12 +186,12 @@
 static void refuse(owner_t *owner, pimento_usec_t now, reservation_t *r,
 		   int reason)
 {
-	message_reserve_t asked = r->asked;
+	message_reserve_t params = r->params;
 	owner_endpoint_t *e = r->endpoint;
 	pimento_id_t to = r->entry;
 
 	discard(owner, r);
-	send_refuse(owner, now, to, &asked, e, reason);
+	send_refuse(owner, now, to, &params, e, reason);
 }
 
 static void grant(owner_t *owner, pimento_usec_t now, reservation_t *r)
@@ -199,7 +199,7 @@
 	queue_grant(&r->endpoint->queue, &r->item);
 	owner->waiting--;
 	r->state = RESERVATION_GRANTED;
-	r->due = now + OWNER_LIFETIME;
+	r->due = now + OWNER_GRANT_LIFETIME;
 	heap_put(&owner->due, r, r->due);
 	endpoint_add_reservation(r->endpoint, now, r);
 	send_grant(owner, now, r);
@@ -211,13 +211,13 @@
  * prompts pass, which does not put it off: they never fill the span that has
  * to be free for it.
  */
-static void grant_what_fits(owner_t *owner, pimento_usec_t now,
-			    owner_endpoint_t *e)
+static void grant_fitting(owner_t *owner, pimento_usec_t now,
+			  owner_endpoint_t *e)
 {
 	for (uint8_t tier = 0; tier < PIMENTO_TIERS_MAX; tier++) {
 		reservation_t *r;
 
-		while ((r = (reservation_t *)queue_first(&e->queue, tier)) &&
+		while ((r = (reservation_t *)queue_next(&e->queue, tier)) &&
 		       endpoint_fits(e, now, r))
 			grant(owner, now, r);
 		if (r && e->running >= endpoint_tier_slots(e, now, tier))
@@ -229,15 +229,15 @@
  * Refuses the end of each line that the line in front of it leaves no time
  * for, least urgent first, so that its callers know at once.
  */
-static void refuse_hopeless(owner_t *owner, pimento_usec_t now,
-			    owner_endpoint_t *e)
+static void refuse_overdue(owner_t *owner, pimento_usec_t now,
+			   owner_endpoint_t *e)
 {
 	if (!endpoint_speed_measured(e))
 		return;
 	for (int tier = PIMENTO_TIERS_MAX - 1; tier >= 0; tier--) {
 		reservation_t *r;
 
-		while ((r = (reservation_t *)queue_last(&e->queue, tier))) {
+		while ((r = (reservation_t *)queue_victim(&e->queue, tier))) {
 			pimento_usec_t wait = endpoint_wait_time(e, now, tier);
 
 			if (now + wait <= r->item.deadline)
@@ -247,13 +247,13 @@
 	}
 }
 
-static void displace_lowest(owner_t *owner, pimento_usec_t now)
+static void evict_lowest_tier(owner_t *owner, pimento_usec_t now)
 {
 	owner_endpoint_t *from = NULL;
 	int lowest = -1;
 
 	for (uint32_t i = 0; i < owner->count; i++) {
-		int tier = queue_lowest(&owner->endpoints[i]->queue);
+		int tier = queue_lowest_tier(&owner->endpoints[i]->queue);
 
 		if (tier > lowest) {
 			lowest = tier;
@@ -262,13 +262,13 @@
 	}
 	if (from)
 		refuse(owner, now,
-		       (reservation_t *)queue_last(&from->queue, lowest),
+		       (reservation_t *)queue_victim(&from->queue, lowest),
 		       PIMENTO_EBUSY);
 }
 
 /* Sheds what is less urgent than a request that is given up next. */
-static void shed_below(owner_t *owner, pimento_usec_t now,
-		       const owner_endpoint_t *like, uint8_t tier)
+static void shed_lower_tiers(owner_t *owner, pimento_usec_t now,
+			     const owner_endpoint_t *like, uint8_t tier)
 {
 	for (uint32_t i = 0; i < owner->count; i++) {
 		owner_endpoint_t *e = owner->endpoints[i];
@@ -276,16 +276,16 @@
 
 		if (!endpoint_same_target(e, like))
 			continue;
-		e->tier_floor_until[tier] = now + OWNER_FLOOR;
-		while ((lowest = queue_lowest(&e->queue)) > tier)
+		e->tier_floor_until[tier] = now + OWNER_TIER_FLOOR_SPAN;
+		while ((lowest = queue_lowest_tier(&e->queue)) > tier)
 			refuse(owner, now,
-			       (reservation_t *)queue_last(&e->queue, lowest),
+			       (reservation_t *)queue_victim(&e->queue, lowest),
 			       PIMENTO_EBUSY);
 	}
 }
 
-static bool above_floor(const owner_endpoint_t *e, pimento_usec_t now,
-			uint8_t tier)
+static bool tier_may_wait(const owner_endpoint_t *e, pimento_usec_t now,
+			  uint8_t tier)
 {
 	for (uint8_t i = 0; i < tier; i++)
 		if (now < e->tier_floor_until[i])
@@ -300,33 +300,35 @@
  */
 static pimento_usec_t latest_start(const reservation_t *r)
 {
-	pimento_usec_t service = endpoint_service_time(r->endpoint, &r->asked);
+	pimento_usec_t service = endpoint_service_time(r->endpoint, &r->params);
 
-	if (service < GIVE_UP_SPAN && r->asked.time_left > 2 * GIVE_UP_SPAN)
-		service = GIVE_UP_SPAN;
+	if (service < REFUSAL_MARGIN &&
+	    r->params.time_left > 2 * REFUSAL_MARGIN)
+		service = REFUSAL_MARGIN;
 	return r->item.deadline - service;
 }
 
-static reservation_t *enter(owner_t *owner, pimento_usec_t now,
-			    pimento_id_t from, owner_endpoint_t *e,
-			    const message_reserve_t *asked)
+static reservation_t *enqueue(owner_t *owner, pimento_usec_t now,
+			      pimento_id_t from, owner_endpoint_t *e,
+			      const message_reserve_t *params)
 {
 	reservation_t *r =
-		reservation_add(&owner->reservations, asked->request);
+		reservation_add(&owner->reservations, params->request);
 
 	if (!r)
 		return NULL;
-	r->asked = *asked;
+	r->params = *params;
 	r->entry = from;
 	r->endpoint = e;
 	r->state = RESERVATION_WAITING;
-	r->item.tier = asked->tier;
-	r->item.account = asked->account;
-	r->item.deadline = now + asked->time_left;
-	r->item.work = endpoint_busy_time(e, asked);
+	r->item.tier = params->tier;
+	r->item.account = params->account;
+	r->item.deadline = now + params->time_left;
+	r->item.work = endpoint_busy_time(e, params);
 	r->due = latest_start(r);
 	if (heap_put(&owner->due, r, r->due) ||
-	    queue_put(&e->queue, &r->item, weight_of(owner, asked->account))) {
+	    queue_put(&e->queue, &r->item,
+		      account_weight(owner, params->account))) {
 		heap_remove(&owner->due, r);
 		reservation_remove(&owner->reservations, r);
 		return NULL;
@@ -336,8 +338,9 @@
 }
 
 /* What to refuse a new reservation with at once; 0 to take it. */
-static int judge(const owner_t *owner, pimento_usec_t now,
-		 const owner_endpoint_t *e, const message_reserve_t *asked)
+static int refusal_reason(const owner_t *owner, pimento_usec_t now,
+			  const owner_endpoint_t *e,
+			  const message_reserve_t *params)
 {
 	pimento_usec_t wait;
 	pimento_usec_t service;
@@ -345,69 +348,69 @@
 	(void)owner;
 	if (e->leaving)
 		return PIMENTO_ELEAVING;
-	if (asked->hops == OWNER_HOPS_SHED)
+	if (params->hops == OWNER_HOPS_SHED_ONLY)
 		return PIMENTO_EBUSY;
-	wait = endpoint_wait_time(e, now, asked->tier);
-	service = endpoint_service_time(e, asked);
+	wait = endpoint_wait_time(e, now, params->tier);
+	service = endpoint_service_time(e, params);
 	if (endpoint_speed_measured(e) &&
-	    (double)wait * WAIT_MARGIN + (double)service >
-		    (double)asked->time_left)
+	    (double)wait * WAIT_ESTIMATE_FACTOR + (double)service >
+		    (double)params->time_left)
 		return PIMENTO_ELATE;
 	return 0;
 }
 
 static void reserve_new(owner_t *owner, pimento_usec_t now, pimento_id_t from,
-			const message_reserve_t *asked)
+			const message_reserve_t *params)
 {
-	owner_endpoint_t *e = find(owner, asked->endpoint);
-	pimento_reqid_t request = asked->request;
+	owner_endpoint_t *e = find(owner, params->endpoint);
+	pimento_reqid_t request = params->request;
 	reservation_t *r;
 	int reason;
 
 	if (!e) {
-		send_refuse(owner, now, from, asked, NULL, PIMENTO_ESTALE);
+		send_refuse(owner, now, from, params, NULL, PIMENTO_ESTALE);
 		return;
 	}
-	reason = judge(owner, now, e, asked);
+	reason = refusal_reason(owner, now, e, params);
 	if (reason) {
-		if (asked->hops >= OWNER_HOPS_SHED)
-			shed_below(owner, now, e, asked->tier);
-		send_refuse(owner, now, from, asked, e, reason);
+		if (params->hops >= OWNER_HOPS_SHED_ONLY)
+			shed_lower_tiers(owner, now, e, params->tier);
+		send_refuse(owner, now, from, params, e, reason);
 		return;
 	}
-	if (!enter(owner, now, from, e, asked)) {
-		send_refuse(owner, now, from, asked, e, PIMENTO_EBUSY);
+	if (!enqueue(owner, now, from, e, params)) {
+		send_refuse(owner, now, from, params, e, PIMENTO_EBUSY);
 		return;
 	}
-	grant_what_fits(owner, now, e);
+	grant_fitting(owner, now, e);
 	if (owner->waiting > owner->options.waiting_max)
-		displace_lowest(owner, now);
-	refuse_hopeless(owner, now, e);
+		evict_lowest_tier(owner, now);
+	refuse_overdue(owner, now, e);
 	r = reservation_find(&owner->reservations, request);
 	if (!r || r->state != RESERVATION_WAITING)
 		return;
-	if (above_floor(e, now, asked->tier)) {
+	if (tier_may_wait(e, now, params->tier)) {
 		send_wait(owner, now, r);
 		return;
 	}
-	if (asked->hops >= OWNER_HOPS_SHED)
-		shed_below(owner, now, e, asked->tier);
+	if (params->hops >= OWNER_HOPS_SHED_ONLY)
+		shed_lower_tiers(owner, now, e, params->tier);
 	refuse(owner, now, r, PIMENTO_EBUSY);
 }
 
 static void reserve(owner_t *owner, pimento_usec_t now, pimento_id_t from,
-		    const message_reserve_t *asked)
+		    const message_reserve_t *params)
 {
 	reservation_t *r =
-		reservation_find(&owner->reservations, asked->request);
+		reservation_find(&owner->reservations, params->request);
 
-	if (asked->tier >= PIMENTO_TIERS_MAX) {
-		send_refuse(owner, now, from, asked, NULL, PIMENTO_EINVAL);
+	if (params->tier >= PIMENTO_TIERS_MAX) {
+		send_refuse(owner, now, from, params, NULL, PIMENTO_EINVAL);
 		return;
 	}
-	if (r && asked->round < r->asked.round)
+	if (r && params->round < r->params.round)
 		return;
-	if (r && asked->round == r->asked.round) {
+	if (r && params->round == r->params.round) {
 		if (r->state == RESERVATION_WAITING)
 			send_wait(owner, now, r);
 		else if (r->state == RESERVATION_GRANTED)
@@ -418,59 +421,62 @@
 		owner_endpoint_t *before = r->endpoint;
 
 		discard(owner, r);
-		grant_what_fits(owner, now, before);
+		grant_fitting(owner, now, before);
 	}
-	reserve_new(owner, now, from, asked);
+	reserve_new(owner, now, from, params);
 }
 
 /* What came since the last word on this dispatch. */
-static void learn(reservation_t *r, pimento_usec_t now, uint32_t answer_tokens,
-		  pimento_usec_t first_token, pimento_usec_t decode)
+static void record_rates(reservation_t *r, pimento_usec_t now,
+			 uint32_t answer_tokens, pimento_usec_t first_token,
+			 pimento_usec_t decode)
 {
 	limit_t *limit = &r->endpoint->limit;
 	limit_load_t load = endpoint_load(r->endpoint);
 
 	if (r->endpoint->config.target == CONFIG_TARGET_SERVICE)
 		return;
-	if (first_token > 0 && !r->first_token)
-		limit_first_token(limit, now, r->ahead + r->asked.prompt_tokens,
-				  first_token, &load);
+	if (first_token > 0 && !r->has_first_token)
+		limit_observe_first_token(
+			limit, now, r->prefill_ahead + r->params.prompt_tokens,
+			first_token, &load);
 	/* Without a first token the span is that of all tokens. */
-	if (answer_tokens > r->answered && decode > r->decode &&
-	    (r->answered || first_token <= 0))
-		limit_decoded(limit, answer_tokens - r->answered,
-			      decode - r->decode);
-	if (decode > r->decode)
-		r->decode = decode;
+	if (answer_tokens > r->answer_tokens && decode > r->decode_span &&
+	    (r->answer_tokens || first_token <= 0))
+		limit_observe_decode(limit, answer_tokens - r->answer_tokens,
+				     decode - r->decode_span);
+	if (decode > r->decode_span)
+		r->decode_span = decode;
 }
 
 static void release(owner_t *owner, pimento_usec_t now,
-		    const message_release_t *said)
+		    const message_release_t *reported)
 {
 	reservation_t *r =
-		reservation_find(&owner->reservations, said->request);
+		reservation_find(&owner->reservations, reported->request);
 	owner_endpoint_t *e;
 	limit_load_t load;
 
-	if (!r || said->round < r->asked.round)
+	if (!r || reported->round < r->params.round)
 		return;
 	e = r->endpoint;
 	load = endpoint_load(e);
 	if (r->state != RESERVATION_WAITING &&
-	    said->outcome != RELEASE_UNUSED) {
-		learn(r, now, said->answer_tokens, said->time_to_first_token,
-		      said->decode_time);
+	    reported->outcome != RELEASE_UNUSED) {
+		record_rates(r, now, reported->answer_tokens,
+			     reported->time_to_first_token,
+			     reported->decode_time);
 		if (e->config.target == CONFIG_TARGET_SERVICE &&
-		    said->time_to_first_token > 0)
-			limit_served(&e->limit, now,
-				     said->time_to_first_token +
-					     said->decode_time,
-				     &load);
+		    reported->time_to_first_token > 0)
+			limit_observe_service(&e->limit, now,
+					      reported->time_to_first_token +
+						      reported->decode_time,
+					      &load);
 	}
-	if (said->outcome == RELEASE_FAILED)
-		limit_failed(&e->limit, now);
+	if (reported->outcome == RELEASE_FAILED)
+		limit_observe_failure(&e->limit, now);
 	discard(owner, r);
-	grant_what_fits(owner, now, e);
+	grant_fitting(owner, now, e);
 }
 
 /*
@@ -478,25 +484,26 @@
  * its grant's lifetime ended here while the entry's word was on its way.
  * Uncounted it would let one request too many in at the endpoint.
  */
-static void adopt(owner_t *owner, pimento_usec_t now, pimento_id_t from,
-		  const message_progress_t *said)
+static void adopt_dispatch(owner_t *owner, pimento_usec_t now,
+			   pimento_id_t from,
+			   const message_progress_t *reported)
 {
-	owner_endpoint_t *e = find(owner, said->endpoint);
+	owner_endpoint_t *e = find(owner, reported->endpoint);
 	reservation_t *r;
 
 	if (!e)
 		return;
-	r = reservation_add(&owner->reservations, said->request);
+	r = reservation_add(&owner->reservations, reported->request);
 	if (!r)
 		return;
-	r->asked.round = said->round;
-	r->asked.endpoint = said->endpoint;
+	r->params.round = reported->round;
+	r->params.endpoint = reported->endpoint;
 	r->entry = from;
 	r->endpoint = e;
 	r->state = RESERVATION_RUNNING;
-	r->first_token = said->time_to_first_token > 0;
-	r->answered = said->answer_tokens;
-	r->decode = said->decode_time;
+	r->has_first_token = reported->time_to_first_token > 0;
+	r->answer_tokens = reported->answer_tokens;
+	r->decode_span = reported->decode_time;
 	r->due = now + OWNER_LEASE;
 	if (heap_put(&owner->due, r, r->due)) {
 		reservation_remove(&owner->reservations, r);
@@ -506,28 +513,29 @@
 }
 
 static void progress(owner_t *owner, pimento_usec_t now, pimento_id_t from,
-		     const message_progress_t *said)
+		     const message_progress_t *reported)
 {
 	reservation_t *r =
-		reservation_find(&owner->reservations, said->request);
+		reservation_find(&owner->reservations, reported->request);
 
 	if (!r) {
-		adopt(owner, now, from, said);
+		adopt_dispatch(owner, now, from, reported);
 		return;
 	}
-	if (r->state == RESERVATION_WAITING || said->round != r->asked.round)
+	if (r->state == RESERVATION_WAITING ||
+	    reported->round != r->params.round)
 		return;
-	learn(r, now, said->answer_tokens, said->time_to_first_token,
-	      said->decode_time);
+	record_rates(r, now, reported->answer_tokens,
+		     reported->time_to_first_token, reported->decode_time);
 	r->state = RESERVATION_RUNNING;
-	if (said->time_to_first_token > 0)
+	if (reported->time_to_first_token > 0)
 		endpoint_prefill_done(r->endpoint, r);
 	else
 		endpoint_check_first_token(r->endpoint, now, r);
-	endpoint_update_answered(r->endpoint, r, said->answer_tokens);
+	endpoint_update_answered(r->endpoint, r, reported->answer_tokens);
 	r->due = now + OWNER_LEASE;
 	heap_put(&owner->due, r, r->due);
-	grant_what_fits(owner, now, r->endpoint);
+	grant_fitting(owner, now, r->endpoint);
 }
 
 int owner_receive(owner_t *owner, pimento_usec_t now, pimento_id_t from,
@@ -554,14 +562,14 @@
 {
 	int tier;
 
-	while ((tier = queue_lowest(&e->queue)) >= 0)
-		refuse(owner, now, (reservation_t *)queue_last(&e->queue, tier),
-		       reason);
+	while ((tier = queue_lowest_tier(&e->queue)) >= 0)
+		refuse(owner, now,
+		       (reservation_t *)queue_victim(&e->queue, tier), reason);
 }
 
-static int add(owner_t *owner, owner_endpoint_t *e)
+static int append_endpoint(owner_t *owner, owner_endpoint_t *e)
 {
-	uint32_t n = owner->capacity ? owner->capacity * 2 : ENDPOINTS_FIRST;
+	uint32_t n = owner->capacity ? owner->capacity * 2 : ENDPOINTS_INITIAL;
 	owner_endpoint_t **grown;
 
 	if (owner->count == owner->capacity) {
@@ -576,8 +584,9 @@
 	return 0;
 }
 
-int owner_take(owner_t *owner, pimento_usec_t now,
-	       const config_endpoint_t *endpoint, uint64_t epoch, double weight)
+int owner_add_endpoint(owner_t *owner, pimento_usec_t now,
+		       const config_endpoint_t *endpoint, uint64_t epoch,
+		       double weight)
 {
 	owner_endpoint_t *e = find(owner, endpoint->id);
 
@@ -585,20 +594,21 @@
 		e->config = *endpoint;
 		e->epoch = epoch;
 		e->weight = weight;
-		limit_cap(&e->limit, endpoint->concurrency);
-		grant_what_fits(owner, now, e);
+		limit_set_concurrency(&e->limit, endpoint->concurrency);
+		grant_fitting(owner, now, e);
 		return 0;
 	}
 	e = endpoint_new(endpoint, epoch, weight);
 	if (!e)
 		return PIMENTO_ENOMEM;
-	if (!add(owner, e))
+	if (!append_endpoint(owner, e))
 		return 0;
 	endpoint_free(e);
 	return PIMENTO_ENOMEM;
 }
 
-void owner_drop(owner_t *owner, pimento_usec_t now, pimento_id_t endpoint)
+void owner_remove_endpoint(owner_t *owner, pimento_usec_t now,
+			   pimento_id_t endpoint)
 {
 	owner_endpoint_t *e = find(owner, endpoint);
 
@@ -614,7 +624,8 @@
 	endpoint_free(e);
 }
 
-void owner_leaving(owner_t *owner, pimento_usec_t now, pimento_id_t endpoint)
+void owner_endpoint_leaving(owner_t *owner, pimento_usec_t now,
+			    pimento_id_t endpoint)
 {
 	owner_endpoint_t *e = find(owner, endpoint);
 
@@ -624,17 +635,18 @@
 	refuse_all(owner, now, e, PIMENTO_ELEAVING);
 }
 
-void owner_returned(owner_t *owner, pimento_usec_t now, pimento_id_t endpoint)
+void owner_endpoint_restarted(owner_t *owner, pimento_usec_t now,
+			      pimento_id_t endpoint)
 {
 	owner_endpoint_t *e = find(owner, endpoint);
 
 	if (!e || !e->leaving)
 		return;
 	e->leaving = false;
-	grant_what_fits(owner, now, e);
+	grant_fitting(owner, now, e);
 }
 
-void owner_forget(owner_t *owner, pimento_usec_t now, pimento_id_t entry)
+void owner_entry_dead(owner_t *owner, pimento_usec_t now, pimento_id_t entry)
 {
 	reservation_table_t *table = &owner->reservations;
 
@@ -651,30 +663,30 @@
 		}
 	}
 	for (uint32_t i = 0; i < owner->count; i++)
-		grant_what_fits(owner, now, owner->endpoints[i]);
+		grant_fitting(owner, now, owner->endpoints[i]);
 }
 
-void owner_report(owner_t *owner, pimento_usec_t now, pimento_id_t endpoint,
-		  const load_report_t *report)
+void owner_load_report(owner_t *owner, pimento_usec_t now,
+		       pimento_id_t endpoint, const load_report_t *report)
 {
 	owner_endpoint_t *e = find(owner, endpoint);
 
 	if (!e)
 		return;
 	if (report->leaving)
-		owner_leaving(owner, now, endpoint);
+		owner_endpoint_leaving(owner, now, endpoint);
 	endpoint_apply_load_report(e, now, report);
-	grant_what_fits(owner, now, e);
+	grant_fitting(owner, now, e);
 }
 
 /* The time of a reservation has come. */
-static void fall_due(owner_t *owner, pimento_usec_t now, reservation_t *r)
+static void handle_due(owner_t *owner, pimento_usec_t now, reservation_t *r)
 {
 	owner_endpoint_t *e = r->endpoint;
 
 	if (r->state != RESERVATION_WAITING) {
 		discard(owner, r);
-		grant_what_fits(owner, now, e);
+		grant_fitting(owner, now, e);
 		return;
 	}
 	r->due = latest_start(r);
@@ -687,10 +699,10 @@
 void owner_tick(owner_t *owner, pimento_usec_t now)
 {
 	while (heap_top_key(&owner->due) <= now)
-		fall_due(owner, now, heap_top(&owner->due));
+		handle_due(owner, now, heap_top(&owner->due));
 	for (uint32_t i = 0; i < owner->count; i++) {
-		grant_what_fits(owner, now, owner->endpoints[i]);
-		refuse_hopeless(owner, now, owner->endpoints[i]);
+		grant_fitting(owner, now, owner->endpoints[i]);
+		refuse_overdue(owner, now, owner->endpoints[i]);
 	}
 }
 
@@ -716,9 +728,9 @@
 		owner_endpoint_t *e = owner->endpoints[0];
 		int tier;
 
-		while ((tier = queue_lowest(&e->queue)) >= 0)
+		while ((tier = queue_lowest_tier(&e->queue)) >= 0)
 			discard(owner,
-				(reservation_t *)queue_last(&e->queue, tier));
+				(reservation_t *)queue_victim(&e->queue, tier));
 		while (e->in_flight)
 			discard(owner, e->in_flight);
 		owner->endpoints[0] = owner->endpoints[--owner->count];
--- a/src/owner.h
+++ b/src/owner.h
@@ -22,25 +22,25 @@
  *   another owner, and ends the earlier one here.
  * - On MESSAGE_GRANT of the round it waits for: dispatches within lifetime and
  *   sends MESSAGE_PROGRESS at once, at the first token, and then every
- *   OWNER_PROGRESS. Any other grant it answers with MESSAGE_RELEASE, unused.
+ *   OWNER_PROGRESS_INTERVAL. Any other grant it answers with MESSAGE_RELEASE, unused.
  * - On MESSAGE_REFUSE: asks route_refused() what to do.
  * - When the dispatch ended, or the caller left: MESSAGE_RELEASE.
  * - When an endpoint changes its owner: MESSAGE_PROGRESS to the new one for
  *   each dispatch there, which makes it count the slot.
  */
-#define OWNER_PROGRESS (1 * PIMENTO_SEC)
+#define OWNER_PROGRESS_INTERVAL (1 * PIMENTO_SEC)
 #define OWNER_LEASE (5 * PIMENTO_SEC)
-#define OWNER_LIFETIME (500 * PIMENTO_MSEC)
+#define OWNER_GRANT_LIFETIME (500 * PIMENTO_MSEC)
 
 /*
  * hops of the last visit before a request is given up: this owner takes it, or
  * refuses and with it everything less urgent that waits for the same target,
- * and lets nothing less urgent wait there for OWNER_FLOOR.
+ * and lets nothing less urgent wait there for OWNER_TIER_FLOOR_SPAN.
  */
-#define OWNER_HOPS_LAST 255
+#define OWNER_HOPS_FINAL 255
 /* The same, but the owner refuses in any case: the endpoint is kept for others. */
-#define OWNER_HOPS_SHED 254
-#define OWNER_FLOOR (200 * PIMENTO_MSEC)
+#define OWNER_HOPS_SHED_ONLY 254
+#define OWNER_TIER_FLOOR_SPAN (200 * PIMENTO_MSEC)
 
 /* An endpoint's own load report, late by age. */
 typedef struct load_report {
@@ -93,24 +93,27 @@
  * (0, 1] is the share of the endpoint this owner may use: less than one where
  * it can reach only a part of the published hosts. Returns 0, PIMENTO_ENOMEM.
  */
-int owner_take(owner_t *owner, pimento_usec_t now,
-	       const config_endpoint_t *endpoint, uint64_t epoch,
-	       double weight);
+int owner_add_endpoint(owner_t *owner, pimento_usec_t now,
+		       const config_endpoint_t *endpoint, uint64_t epoch,
+		       double weight);
 
 /*
  * Stops owning: every waiting reservation is refused with PIMENTO_ESTALE at
  * once, so that its entry reserves at the new owner; nothing of it has run.
  */
-void owner_drop(owner_t *owner, pimento_usec_t now, pimento_id_t endpoint);
+void owner_remove_endpoint(owner_t *owner, pimento_usec_t now,
+			   pimento_id_t endpoint);
 
 /* The endpoint is leaving: refuse what waits, grant nothing more. */
-void owner_leaving(owner_t *owner, pimento_usec_t now, pimento_id_t endpoint);
+void owner_endpoint_leaving(owner_t *owner, pimento_usec_t now,
+			    pimento_id_t endpoint);
 
 /* A new process stands in the place of the endpoint that was leaving. */
-void owner_returned(owner_t *owner, pimento_usec_t now, pimento_id_t endpoint);
+void owner_endpoint_restarted(owner_t *owner, pimento_usec_t now,
+			      pimento_id_t endpoint);
 
 /* An entry host is dead: what it had waiting is dropped. */
-void owner_forget(owner_t *owner, pimento_usec_t now, pimento_id_t entry);
+void owner_entry_dead(owner_t *owner, pimento_usec_t now, pimento_id_t entry);
 
 /*
  * Takes MESSAGE_RESERVE, _RELEASE, _PROGRESS. Repeated and reordered ones are
@@ -119,8 +122,8 @@
 int owner_receive(owner_t *owner, pimento_usec_t now, pimento_id_t from,
 		  const message_t *message);
 
-void owner_report(owner_t *owner, pimento_usec_t now, pimento_id_t endpoint,
-		  const load_report_t *report);
+void owner_load_report(owner_t *owner, pimento_usec_t now,
+		       pimento_id_t endpoint, const load_report_t *report);
 
 /*
  * Called when owner_deadline() is due, or whenever else: refuses what can no
--- a/src/packet.c
+++ b/src/packet.c
@@ -163,7 +163,7 @@
 	return encode(&message, bytes, size);
 }
 
-static int pack_slot_request(const grants_ask_t *request, uint8_t *bytes,
+static int pack_slot_request(const grants_request_t *request, uint8_t *bytes,
 			     size_t size)
 {
 	Peer__Packet message = PEER__PACKET__INIT;
@@ -173,11 +173,11 @@
 	out.address = request->address;
 	out.ticket = request->ticket;
 	out.rank = request->rank;
-	out.late = request->late;
-	out.sure = request->sure;
-	out.wait_ms = (uint32_t)(request->wait / PIMENTO_MSEC);
-	out.late_in_ms = (uint32_t)(request->late_in / PIMENTO_MSEC);
-	out.ahead_ms = (int32_t)(request->ahead / PIMENTO_MSEC);
+	out.late = request->overdue;
+	out.sure = request->unconditional;
+	out.wait_ms = (uint32_t)(request->queue_timeout / PIMENTO_MSEC);
+	out.late_in_ms = (uint32_t)(request->overdue_in / PIMENTO_MSEC);
+	out.ahead_ms = (int32_t)(request->head_start / PIMENTO_MSEC);
 	message.content_case = PEER__PACKET__CONTENT_ASK;
 	message.ask = &out;
 	return encode(&message, bytes, size);
@@ -365,18 +365,19 @@
 	copy_membership(gossip, message);
 }
 
-static void copy_slot_request(grants_ask_t *request, const Peer__Ask *message)
+static void copy_slot_request(grants_request_t *request,
+			      const Peer__Ask *message)
 {
-	*request = (grants_ask_t){
+	*request = (grants_request_t){
 		.endpoint = message->endpoint,
 		.address = message->address,
 		.ticket = message->ticket,
 		.rank = message->rank,
-		.late = message->late != 0,
-		.sure = message->sure != 0,
-		.wait = message->wait_ms * PIMENTO_MSEC,
-		.late_in = message->late_in_ms * PIMENTO_MSEC,
-		.ahead = message->ahead_ms * PIMENTO_MSEC,
+		.overdue = message->late != 0,
+		.unconditional = message->sure != 0,
+		.queue_timeout = message->wait_ms * PIMENTO_MSEC,
+		.overdue_in = message->late_in_ms * PIMENTO_MSEC,
+		.head_start = message->ahead_ms * PIMENTO_MSEC,
 	};
 }
 
--- a/src/packet.h
+++ b/src/packet.h
@@ -48,7 +48,7 @@
 	packet_kind_t kind;
 	union {
 		roster_note_t gossip;
-		grants_ask_t slot_request;
+		grants_request_t slot_request;
 		packet_slot_reply_t slot_reply;
 		packet_slot_release_t slot_release;
 		packet_running_report_t running_report;
--- a/src/mix.c
+++ b/src/prompt_mix.c
@@ -7,23 +7,23 @@
  * The work of both kinds is measured, so that neither side idles.
  */
 
-#include "mix.h"
+#include "prompt_mix.h"
 
 #include <math.h>
 #include <string.h>
 
 #define HALF_LIFE (60 * PIMENTO_SEC)
-#define DECAY_STEP (200 * PIMENTO_MSEC)
-#define LITTLE 0.01 /* a part of work that is not worth an endpoint */
+#define DECAY_INTERVAL (200 * PIMENTO_MSEC)
+#define WORK_SHARE_MIN 0.01 /* a part of work that is not worth an endpoint */
 
-void mix_init(mix_t *mix)
+void prompt_mix_init(prompt_mix_t *mix)
 {
 	memset(mix, 0, sizeof(*mix));
 }
 
-mix_target_t *mix_target(mix_t *mix, pimento_id_t name)
+prompt_mix_target_t *prompt_mix_target(prompt_mix_t *mix, pimento_id_t name)
 {
-	for (int i = 0; i < MIX_TARGETS_MAX; i++) {
+	for (int i = 0; i < PROMPT_MIX_TARGETS_MAX; i++) {
 		if (!mix->targets[i].name)
 			mix->targets[i].name = name;
 		if (mix->targets[i].name == name)
@@ -32,29 +32,29 @@
 	return NULL;
 }
 
-static void decay(mix_target_t *t, pimento_usec_t now)
+static void decay(prompt_mix_target_t *t, pimento_usec_t now)
 {
-	pimento_usec_t span = now - t->decayed;
+	pimento_usec_t span = now - t->decayed_at;
 	double keep;
 
-	if (span < DECAY_STEP)
+	if (span < DECAY_INTERVAL)
 		return;
 	keep = exp2(-(double)span / HALF_LIFE);
 	for (int i = 0; i < PIMENTO_TIERS_MAX; i++) {
-		t->brief[i] *= keep;
-		t->lengthy[i] *= keep;
+		t->short_work[i] *= keep;
+		t->long_work[i] *= keep;
 	}
-	t->decayed = now;
+	t->decayed_at = now;
 }
 
-void mix_note(mix_target_t *t, pimento_usec_t now, uint8_t tier, double work,
-	      bool lengthy)
+void prompt_mix_record(prompt_mix_target_t *t, pimento_usec_t now, uint8_t tier,
+		       double work, bool lengthy)
 {
 	decay(t, now);
 	if (lengthy)
-		t->lengthy[tier] += work;
+		t->long_work[tier] += work;
 	else
-		t->brief[tier] += work;
+		t->short_work[tier] += work;
 }
 
 static double sum(const double *work, int count)
@@ -66,23 +66,23 @@
 	return all;
 }
 
-uint8_t mix_last(const mix_target_t *t)
+uint8_t prompt_mix_lowest_long_tier(const prompt_mix_target_t *t)
 {
-	double least = LITTLE * sum(t->lengthy, PIMENTO_TIERS_MAX);
+	double least = WORK_SHARE_MIN * sum(t->long_work, PIMENTO_TIERS_MAX);
 	uint8_t last = 0;
 
 	for (uint8_t i = 0; i < PIMENTO_TIERS_MAX; i++)
-		if (t->lengthy[i] > least)
+		if (t->long_work[i] > least)
 			last = i;
 	return last;
 }
 
-double mix_kept(const mix_target_t *t)
+double prompt_mix_short_share(const prompt_mix_target_t *t)
 {
-	double lengthy = sum(t->lengthy, PIMENTO_TIERS_MAX);
-	double brief = sum(t->brief, mix_last(t) + 1);
+	double lengthy = sum(t->long_work, PIMENTO_TIERS_MAX);
+	double brief = sum(t->short_work, prompt_mix_lowest_long_tier(t) + 1);
 
-	if (lengthy <= 0 || brief <= LITTLE * lengthy)
+	if (lengthy <= 0 || brief <= WORK_SHARE_MIN * lengthy)
 		return 0;
 	return brief / (brief + lengthy);
 }
--- a/src/queue.c
+++ b/src/queue.c
@@ -1,7 +1,7 @@
 /*
- * Start-time fair queueing between the accounts of a tier: each lane counts
- * the work it was granted, divided by its weight, and the lane with the least
- * goes next. A lane that was empty starts at the tier's virtual clock, so that
+ * Start-time fair queueing between the accounts of a tier: each flow counts
+ * the work it was granted, divided by its weight, and the flow with the least
+ * goes next. A flow that was empty starts at the tier's virtual clock, so that
  * an account which was away has no credit to starve the others with.
  */
 
@@ -10,31 +10,31 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LANES_FIRST 4
+#define FLOWS_INITIAL 4
 
 void queue_item_init(queue_item_t *item)
 {
 	memset(item, 0, sizeof(*item));
-	item->place_first = HEAP_ABSENT;
-	item->place_last = HEAP_ABSENT;
+	item->earliest_index = HEAP_ABSENT;
+	item->latest_index = HEAP_ABSENT;
 }
 
 void queue_init(queue_t *queue)
 {
 	memset(queue, 0, sizeof(*queue));
 	for (int i = 0; i < PIMENTO_TIERS_MAX; i++) {
-		heap_init(&queue->tiers[i].turn,
-			  offsetof(queue_lane_t, place_turn));
-		heap_init(&queue->tiers[i].size,
-			  offsetof(queue_lane_t, place_size));
+		heap_init(&queue->tiers[i].by_service,
+			  offsetof(queue_flow_t, service_index));
+		heap_init(&queue->tiers[i].by_backlog,
+			  offsetof(queue_flow_t, backlog_index));
 	}
 }
 
-static void lane_free(queue_lane_t *lane)
+static void flow_free(queue_flow_t *flow)
 {
-	heap_finish(&lane->first);
-	heap_finish(&lane->last);
-	free(lane);
+	heap_finish(&flow->earliest);
+	heap_finish(&flow->latest);
+	free(flow);
 }
 
 void queue_finish(queue_t *queue)
@@ -42,25 +42,25 @@
 	for (int i = 0; i < PIMENTO_TIERS_MAX; i++) {
 		queue_tier_t *tier = &queue->tiers[i];
 
-		for (uint32_t j = 0; j < tier->lane_count; j++)
-			lane_free(tier->lanes[j]);
-		free(tier->lanes);
-		heap_finish(&tier->turn);
-		heap_finish(&tier->size);
+		for (uint32_t j = 0; j < tier->flow_count; j++)
+			flow_free(tier->flows[j]);
+		free(tier->flows);
+		heap_finish(&tier->by_service);
+		heap_finish(&tier->by_backlog);
 	}
 	memset(queue, 0, sizeof(*queue));
 }
 
-/* Index of the first lane whose account is not below the given one. */
-static uint32_t lane_index(const queue_tier_t *tier, pimento_id_t account)
+/* Index of the first flow whose account is not below the given one. */
+static uint32_t flow_index(const queue_tier_t *tier, pimento_id_t account)
 {
 	uint32_t low = 0;
-	uint32_t high = tier->lane_count;
+	uint32_t high = tier->flow_count;
 
 	while (low < high) {
 		uint32_t middle = (low + high) / 2;
 
-		if (tier->lanes[middle]->account < account)
+		if (tier->flows[middle]->account < account)
 			low = middle + 1;
 		else
 			high = middle;
@@ -68,99 +68,101 @@
 	return low;
 }
 
-static queue_lane_t *lane_find(const queue_tier_t *tier, pimento_id_t account)
+static queue_flow_t *flow_find(const queue_tier_t *tier, pimento_id_t account)
 {
-	uint32_t i = lane_index(tier, account);
+	uint32_t i = flow_index(tier, account);
 
-	if (i < tier->lane_count && tier->lanes[i]->account == account)
-		return tier->lanes[i];
+	if (i < tier->flow_count && tier->flows[i]->account == account)
+		return tier->flows[i];
 	return NULL;
 }
 
-static queue_lane_t *lane_new(pimento_id_t account)
+static queue_flow_t *flow_new(pimento_id_t account)
 {
-	queue_lane_t *lane = calloc(1, sizeof(*lane));
+	queue_flow_t *flow = calloc(1, sizeof(*flow));
 
-	if (!lane)
+	if (!flow)
 		return NULL;
-	lane->account = account;
-	lane->place_turn = HEAP_ABSENT;
-	lane->place_size = HEAP_ABSENT;
-	heap_init(&lane->first, offsetof(queue_item_t, place_first));
-	heap_init(&lane->last, offsetof(queue_item_t, place_last));
-	return lane;
+	flow->account = account;
+	flow->service_index = HEAP_ABSENT;
+	flow->backlog_index = HEAP_ABSENT;
+	heap_init(&flow->earliest, offsetof(queue_item_t, earliest_index));
+	heap_init(&flow->latest, offsetof(queue_item_t, latest_index));
+	return flow;
 }
 
-static int lanes_grow(queue_tier_t *tier)
+static int flows_grow(queue_tier_t *tier)
 {
-	uint32_t size = tier->lane_size ? tier->lane_size * 2 : LANES_FIRST;
-	queue_lane_t **lanes =
-		realloc(tier->lanes, size * sizeof(queue_lane_t *));
+	uint32_t size =
+		tier->flow_capacity ? tier->flow_capacity * 2 : FLOWS_INITIAL;
+	queue_flow_t **flows =
+		realloc(tier->flows, size * sizeof(queue_flow_t *));
 
-	if (!lanes)
+	if (!flows)
 		return PIMENTO_ENOMEM;
-	tier->lanes = lanes;
-	tier->lane_size = size;
+	tier->flows = flows;
+	tier->flow_capacity = size;
 	return 0;
 }
 
-static queue_lane_t *lane_add(queue_tier_t *tier, pimento_id_t account)
+static queue_flow_t *flow_add(queue_tier_t *tier, pimento_id_t account)
 {
-	uint32_t i = lane_index(tier, account);
-	queue_lane_t *lane;
+	uint32_t i = flow_index(tier, account);
+	queue_flow_t *flow;
 
-	if (tier->lane_count == tier->lane_size && lanes_grow(tier))
+	if (tier->flow_count == tier->flow_capacity && flows_grow(tier))
 		return NULL;
-	lane = lane_new(account);
-	if (!lane)
+	flow = flow_new(account);
+	if (!flow)
 		return NULL;
-	memmove(tier->lanes + i + 1, tier->lanes + i,
-		(tier->lane_count - i) * sizeof(queue_lane_t *));
-	tier->lanes[i] = lane;
-	tier->lane_count++;
-	return lane;
+	memmove(tier->flows + i + 1, tier->flows + i,
+		(tier->flow_count - i) * sizeof(queue_flow_t *));
+	tier->flows[i] = flow;
+	tier->flow_count++;
+	return flow;
 }
 
-static int lane_place(queue_tier_t *tier, queue_lane_t *lane)
+static int flow_reorder(queue_tier_t *tier, queue_flow_t *flow)
 {
-	if (!lane->first.count) {
-		heap_remove(&tier->turn, lane);
-		heap_remove(&tier->size, lane);
+	if (!flow->earliest.count) {
+		heap_remove(&tier->by_service, flow);
+		heap_remove(&tier->by_backlog, flow);
 		return 0;
 	}
-	if (heap_put(&tier->turn, lane, lane->served))
+	if (heap_put(&tier->by_service, flow, flow->virtual_service))
 		return PIMENTO_ENOMEM;
-	return heap_put(&tier->size, lane, -(lane->work / lane->weight));
+	return heap_put(&tier->by_backlog, flow, -(flow->work / flow->weight));
 }
 
-static int lane_insert(queue_lane_t *lane, queue_item_t *item)
+static int flow_insert(queue_flow_t *flow, queue_item_t *item)
 {
-	int r = heap_put(&lane->first, item, item->deadline);
+	int r = heap_put(&flow->earliest, item, item->deadline);
 
 	if (!r)
-		r = heap_put(&lane->last, item, -item->deadline);
+		r = heap_put(&flow->latest, item, -item->deadline);
 	if (r)
-		heap_remove(&lane->first, item);
+		heap_remove(&flow->earliest, item);
 	return r;
 }
 
 int queue_put(queue_t *queue, queue_item_t *item, uint32_t weight)
 {
 	queue_tier_t *tier = &queue->tiers[item->tier];
-	queue_lane_t *lane = lane_find(tier, item->account);
+	queue_flow_t *flow = flow_find(tier, item->account);
 
-	if (!lane)
-		lane = lane_add(tier, item->account);
-	if (!lane || lane_insert(lane, item))
+	if (!flow)
+		flow = flow_add(tier, item->account);
+	if (!flow || flow_insert(flow, item))
 		return PIMENTO_ENOMEM;
-	if (lane->first.count == 1 && lane->served < tier->clock)
-		lane->served = tier->clock;
-	lane->weight = weight;
-	lane->work += item->work;
+	if (flow->earliest.count == 1 &&
+	    flow->virtual_service < tier->virtual_time)
+		flow->virtual_service = tier->virtual_time;
+	flow->weight = weight;
+	flow->work += item->work;
 	tier->work += item->work;
 	tier->count++;
 	queue->count++;
-	if (!lane_place(tier, lane))
+	if (!flow_reorder(tier, flow))
 		return 0;
 	queue_remove(queue, item);
 	return PIMENTO_ENOMEM;
@@ -169,44 +171,44 @@
 void queue_remove(queue_t *queue, queue_item_t *item)
 {
 	queue_tier_t *tier = &queue->tiers[item->tier];
-	queue_lane_t *lane = lane_find(tier, item->account);
+	queue_flow_t *flow = flow_find(tier, item->account);
 
-	if (item->place_first == HEAP_ABSENT)
+	if (item->earliest_index == HEAP_ABSENT)
 		return;
-	heap_remove(&lane->first, item);
-	heap_remove(&lane->last, item);
-	lane->work -= item->work;
+	heap_remove(&flow->earliest, item);
+	heap_remove(&flow->latest, item);
+	flow->work -= item->work;
 	tier->work -= item->work;
 	tier->count--;
 	queue->count--;
-	lane_place(tier, lane);
+	flow_reorder(tier, flow);
 }
 
 void queue_grant(queue_t *queue, queue_item_t *item)
 {
 	queue_tier_t *tier = &queue->tiers[item->tier];
-	queue_lane_t *lane = lane_find(tier, item->account);
+	queue_flow_t *flow = flow_find(tier, item->account);
 
-	tier->clock = lane->served;
-	lane->served += 1 + item->work / lane->weight;
+	tier->virtual_time = flow->virtual_service;
+	flow->virtual_service += 1 + item->work / flow->weight;
 	queue_remove(queue, item);
 }
 
-queue_item_t *queue_first(const queue_t *queue, uint8_t tier)
+queue_item_t *queue_next(const queue_t *queue, uint8_t tier)
 {
-	const queue_lane_t *lane = heap_top(&queue->tiers[tier].turn);
+	const queue_flow_t *flow = heap_top(&queue->tiers[tier].by_service);
 
-	return lane ? heap_top(&lane->first) : NULL;
+	return flow ? heap_top(&flow->earliest) : NULL;
 }
 
-queue_item_t *queue_last(const queue_t *queue, uint8_t tier)
+queue_item_t *queue_victim(const queue_t *queue, uint8_t tier)
 {
-	const queue_lane_t *lane = heap_top(&queue->tiers[tier].size);
+	const queue_flow_t *flow = heap_top(&queue->tiers[tier].by_backlog);
 
-	return lane ? heap_top(&lane->last) : NULL;
+	return flow ? heap_top(&flow->latest) : NULL;
 }
 
-int queue_lowest(const queue_t *queue)
+int queue_lowest_tier(const queue_t *queue)
 {
 	for (int i = PIMENTO_TIERS_MAX - 1; i >= 0; i--)
 		if (queue->tiers[i].count)
--- a/src/queue.h
+++ b/src/queue.h
@@ -16,29 +16,29 @@
 	pimento_id_t account;
 	pimento_usec_t deadline;
 	pimento_usec_t work; /* expected time of service */
-	uint32_t place_first; /* in its lane, earliest deadline first */
-	uint32_t place_last; /* in its lane, latest deadline first */
+	uint32_t earliest_index; /* in its flow, earliest deadline first */
+	uint32_t latest_index; /* in its flow, latest deadline first */
 } queue_item_t;
 
 /* What one account has waiting in one tier. */
-typedef struct queue_lane {
+typedef struct queue_flow {
 	pimento_id_t account;
 	uint32_t weight;
-	int64_t served; /* work granted over weight, in virtual time */
+	int64_t virtual_service; /* work granted over weight, in virtual time */
 	pimento_usec_t work; /* of all that waits here */
-	heap_t first;
-	heap_t last;
-	uint32_t place_turn;
-	uint32_t place_size;
-} queue_lane_t;
+	heap_t earliest;
+	heap_t latest;
+	uint32_t service_index;
+	uint32_t backlog_index;
+} queue_flow_t;
 
 typedef struct queue_tier {
-	queue_lane_t **lanes; /* by account, ascending */
-	uint32_t lane_count;
-	uint32_t lane_size;
-	heap_t turn; /* lanes with something waiting, least served first */
-	heap_t size; /* the same, most work for its weight first */
-	int64_t clock; /* virtual time: served of the lane granted last */
+	queue_flow_t **flows; /* by account, ascending */
+	uint32_t flow_count;
+	uint32_t flow_capacity;
+	heap_t by_service; /* flows with something waiting, least served first */
+	heap_t by_backlog; /* the same, most work for its weight first */
+	int64_t virtual_time; /* virtual time: served of the flow granted last */
 	uint32_t count;
 	pimento_usec_t work;
 } queue_tier_t;
@@ -61,16 +61,16 @@
 void queue_grant(queue_t *queue, queue_item_t *item);
 
 /* Whose turn it is in a tier; NULL when nothing waits there. */
-queue_item_t *queue_first(const queue_t *queue, uint8_t tier);
+queue_item_t *queue_next(const queue_t *queue, uint8_t tier);
 
 /*
  * Who goes first when something must go: of the account with the most waiting
  * for its weight, the one with the latest deadline.
  */
-queue_item_t *queue_last(const queue_t *queue, uint8_t tier);
+queue_item_t *queue_victim(const queue_t *queue, uint8_t tier);
 
 /* Least urgent tier with something waiting, -1 when there is none. */
-int queue_lowest(const queue_t *queue);
+int queue_lowest_tier(const queue_t *queue);
 
 /* Work waiting in this tier and in more urgent ones. */
 pimento_usec_t queue_work(const queue_t *queue, uint8_t tier);
--- a/src/reservation.c
+++ b/src/reservation.c
@@ -7,12 +7,12 @@
 
 #include <stdlib.h>
 
-#define TABLE_FIRST 256
+#define TABLE_SIZE_INITIAL 256
 
 int reservation_table_init(reservation_table_t *table)
 {
 	table->count = 0;
-	table->size = TABLE_FIRST;
+	table->size = TABLE_SIZE_INITIAL;
 	table->chains = calloc(table->size, sizeof(reservation_t *));
 	return table->chains ? 0 : PIMENTO_ENOMEM;
 }
@@ -33,7 +33,7 @@
 	table->count = 0;
 }
 
-static uint32_t chain_of(pimento_reqid_t request, uint32_t size)
+static uint32_t chain_index(pimento_reqid_t request, uint32_t size)
 {
 	uint64_t h = (request.hi ^ request.lo) * 0x9e3779b97f4a7c15ULL;
 
@@ -51,7 +51,7 @@
 	for (uint32_t i = 0; i < table->size; i++) {
 		while (table->chains[i]) {
 			reservation_t *r = table->chains[i];
-			uint32_t to = chain_of(r->asked.request, size);
+			uint32_t to = chain_index(r->params.request, size);
 
 			table->chains[i] = r->next;
 			r->next = chains[to];
@@ -74,9 +74,9 @@
 	if (table->count >= table->size)
 		grow(table);
 	queue_item_init(&r->item);
-	r->asked.request = request;
-	r->place_due = HEAP_ABSENT;
-	i = chain_of(request, table->size);
+	r->params.request = request;
+	r->due_index = HEAP_ABSENT;
+	i = chain_index(request, table->size);
 	r->next = table->chains[i];
 	table->chains[i] = r;
 	table->count++;
@@ -86,9 +86,9 @@
 reservation_t *reservation_find(const reservation_table_t *table,
 				pimento_reqid_t request)
 {
-	reservation_t *r = table->chains[chain_of(request, table->size)];
+	reservation_t *r = table->chains[chain_index(request, table->size)];
 
-	while (r && !pimento_reqid_equal(r->asked.request, request))
+	while (r && !pimento_reqid_equal(r->params.request, request))
 		r = r->next;
 	return r;
 }
@@ -96,7 +96,7 @@
 void reservation_remove(reservation_table_t *table, reservation_t *r)
 {
 	reservation_t **link =
-		&table->chains[chain_of(r->asked.request, table->size)];
+		&table->chains[chain_index(r->params.request, table->size)];
 
 	while (*link != r)
 		link = &(*link)->next;
--- a/src/reservation.h
+++ b/src/reservation.h
@@ -18,17 +18,17 @@
 
 typedef struct reservation {
 	queue_item_t item; /* first member: the queue hands it back */
-	message_reserve_t asked;
+	message_reserve_t params;
 	pimento_id_t entry;
 	owner_endpoint_t *endpoint;
 	reservation_state_t state;
-	pimento_usec_t granted; /* when */
+	pimento_usec_t granted_at; /* when */
 	pimento_usec_t due; /* latest start, end of lifetime or of lease */
-	uint32_t ahead; /* prompt tokens in front when granted */
-	uint32_t answered; /* tokens of the answer so far */
-	pimento_usec_t decode; /* span of its making, as last said */
-	bool first_token; /* the prompt is read */
-	uint32_t place_due; /* in the owner's heap of times */
+	uint32_t prefill_ahead; /* prompt tokens in front when granted */
+	uint32_t answer_tokens; /* tokens of the answer so far */
+	pimento_usec_t decode_span; /* span of its making, as last said */
+	bool has_first_token; /* the prompt is read */
+	uint32_t due_index; /* in the owner's heap of times */
 	struct reservation *next; /* in the table's chain */
 	struct reservation *older; /* in the endpoint's list in flight */
 	struct reservation *newer;
--- a/src/route.c
+++ b/src/route.c
@@ -1,5 +1,5 @@
 /*
- * The entry picks the endpoint that should finish the request first: the line
+ * The entry picks the endpoint that should finish the request first: the queue_seconds
  * in front of it, then reading the prompt less what is probably cached, then
  * making the answer. Owners put a summary on every answer, so what is known is
  * fresh where requests go; what this entry sent since is added to it, or all
@@ -13,23 +13,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEEP 0.8 /* of the old value in each new sample */
-#define FAILED_SPAN (2 * PIMENTO_SEC)
+#define EWMA_KEEP 0.8 /* of the old value in each new sample */
+#define FAILED_AVOID_SPAN (2 * PIMENTO_SEC)
 #define MEASURED_SPAN (30 * PIMENTO_SEC)
-#define PREFIXES 4096 /* a power of two */
-#define PREFIX_SPAN (300 * PIMENTO_SEC)
-#define PREFIX_PART 0.5 /* of a prompt, taken to be shared */
-#define GUESS_PREFILL 4000.0 /* tokens a second, until anything is known */
-#define GUESS_DECODE 30.0
-#define GUESS_SERVICE 0.05 /* seconds */
-#define MOVED_MAX 4
+#define PREFIX_TABLE_SIZE 4096 /* a power of two */
+#define PREFIX_LIFETIME (300 * PIMENTO_SEC)
+#define PREFIX_CACHED_SHARE 0.5 /* of a prompt, taken to be shared */
+#define DEFAULT_PREFILL_RATE \
+	4000.0 /* tokens a second, until anything is known */
+#define DEFAULT_DECODE_RATE 30.0
+#define DEFAULT_SERVICE_S 0.05 /* seconds */
+#define OWNER_CHANGES_MAX 4
 #define JITTER 0.05
-#define BEST_FORGET 0.9999
-#define HOPELESS (0.3 * PIMENTO_SEC) /* of the span by the best rates */
-#define QUICK_PART 0.4 /* of the patience that is quick enough */
-#define LENGTHY 1.0 /* seconds of reading that make a prompt a long one */
-#define DIVIDE_SPAN (500 * PIMENTO_MSEC)
-#define SIDE_BY_SIDE 16 /* answers made at once, roughly */
+#define BEST_DECAY 0.9999
+#define FEASIBLE_FACTOR (0.3 * PIMENTO_SEC) /* of the span by the best rates */
+#define SHORT_ONLY_TIME_SHARE 0.4 /* of the patience that is quick enough */
+#define LONG_PROMPT_S 1.0 /* seconds of reading that make a prompt a long one */
+#define PARTITION_INTERVAL (500 * PIMENTO_MSEC)
+#define DECODE_PARALLELISM 16 /* answers made at once, roughly */
 
 struct route_endpoint {
 	pimento_id_t id;
@@ -39,16 +40,16 @@
 	uint32_t concurrency;
 	uint32_t context_tokens;
 	message_summary_t summary; /* epoch 0: none yet */
-	double prefill_best; /* rates of its quickest time lately */
-	double decode_best;
+	double prefill_rate_max; /* rates of its quickest time lately */
+	double decode_rate_max;
 	double prefill; /* measured here, tokens a second, 0 unknown */
 	double decode;
-	double service; /* seconds, plain services */
-	pimento_usec_t measured;
-	double sent; /* seconds of work, by this entry since the summary */
+	double service_seconds; /* seconds, plain services */
+	pimento_usec_t measured_at;
+	double pending_work; /* seconds of work_seconds, by this entry since the summary */
 	pimento_usec_t failed_until;
 	bool leaving;
-	bool kept; /* free of long prompts */
+	bool short_only; /* free of long prompts */
 };
 
 struct route_prefix {
@@ -62,8 +63,8 @@
 {
 	memset(route, 0, sizeof(*route));
 	pimento_random_init(&route->random, seed);
-	mix_init(&route->mix);
-	route->prefixes = calloc(PREFIXES, sizeof(*route->prefixes));
+	prompt_mix_init(&route->mix);
+	route->prefixes = calloc(PREFIX_TABLE_SIZE, sizeof(*route->prefixes));
 	return route->prefixes ? 0 : PIMENTO_ENOMEM;
 }
 
@@ -100,7 +101,7 @@
 	return (left->id > right->id) - (left->id < right->id);
 }
 
-static void describe(route_endpoint_t *e, const config_endpoint_t *from)
+static void set_description(route_endpoint_t *e, const config_endpoint_t *from)
 {
 	e->id = from->id;
 	e->target = from->target;
@@ -124,14 +125,14 @@
 
 		if (old)
 			endpoints[i] = *old;
-		describe(&endpoints[i], &config->endpoints[i]);
+		set_description(&endpoints[i], &config->endpoints[i]);
 	}
 	qsort(endpoints, n, sizeof(*endpoints), endpoint_order);
 	free(route->endpoints);
 	route->endpoints = endpoints;
 	route->count = n;
 	route->tier_count = config->tier_count;
-	route->divided = 0;
+	route->partitioned_at = 0;
 	return 0;
 }
 
@@ -140,8 +141,8 @@
 	return a > b ? a : b;
 }
 
-void route_learn(route_t *route, pimento_usec_t now,
-		 const message_summary_t *summary)
+void route_update_summary(route_t *route, pimento_usec_t now,
+			  const message_summary_t *summary)
 {
 	route_endpoint_t *e = find(route, summary->endpoint);
 
@@ -149,21 +150,22 @@
 	if (!e || summary->epoch < e->summary.epoch)
 		return;
 	e->summary = *summary;
-	e->sent = 0;
-	e->prefill_best = larger(e->prefill_best * BEST_FORGET,
-				 (double)summary->prefill_rate);
-	e->decode_best = larger(e->decode_best * BEST_FORGET,
-				(double)summary->decode_rate);
+	e->pending_work = 0;
+	e->prefill_rate_max = larger(e->prefill_rate_max * BEST_DECAY,
+				     (double)summary->prefill_rate);
+	e->decode_rate_max = larger(e->decode_rate_max * BEST_DECAY,
+				    (double)summary->decode_rate);
 }
 
-static double blend(double old, double sample)
+static double ewma(double old, double sample)
 {
-	return old > 0 ? old * KEEP + sample * (1 - KEEP) : sample;
+	return old > 0 ? old * EWMA_KEEP + sample * (1 - EWMA_KEEP) : sample;
 }
 
-void route_observe(route_t *route, pimento_usec_t now, pimento_id_t endpoint,
-		   uint32_t prompt_tokens, uint32_t answer_tokens,
-		   pimento_usec_t first_token, pimento_usec_t decode)
+void route_record_answer(route_t *route, pimento_usec_t now,
+			 pimento_id_t endpoint, uint32_t prompt_tokens,
+			 uint32_t answer_tokens, pimento_usec_t first_token,
+			 pimento_usec_t decode)
 {
 	route_endpoint_t *e = find(route, endpoint);
 	double first = (double)first_token / PIMENTO_SEC;
@@ -171,37 +173,38 @@
 
 	if (!e)
 		return;
-	e->measured = now;
+	e->measured_at = now;
 	if (e->target == CONFIG_TARGET_SERVICE) {
-		e->service = blend(e->service, first + rest);
+		e->service_seconds = ewma(e->service_seconds, first + rest);
 		return;
 	}
 	if (first > 0 && prompt_tokens)
-		e->prefill = blend(e->prefill, prompt_tokens / first);
+		e->prefill = ewma(e->prefill, prompt_tokens / first);
 	if (rest > 0 && answer_tokens > 1)
-		e->decode = blend(e->decode, (answer_tokens - 1) / rest);
+		e->decode = ewma(e->decode, (answer_tokens - 1) / rest);
 }
 
-static route_prefix_t *prefix_place(const route_t *route, uint64_t prefix,
-				    pimento_id_t endpoint)
+static route_prefix_t *prefix_slot(const route_t *route, uint64_t prefix,
+				   pimento_id_t endpoint)
 {
 	uint64_t h = (prefix ^ endpoint) * 0x9e3779b97f4a7c15ULL;
 
-	return &route->prefixes[(h >> 32) & (PREFIXES - 1)];
+	return &route->prefixes[(h >> 32) & (PREFIX_TABLE_SIZE - 1)];
 }
 
-void route_placed(route_t *route, pimento_usec_t now, pimento_id_t endpoint,
-		  uint64_t prefix, uint32_t prompt_tokens)
+void route_record_prefix(route_t *route, pimento_usec_t now,
+			 pimento_id_t endpoint, uint64_t prefix,
+			 uint32_t prompt_tokens)
 {
 	route_prefix_t *p;
 
 	if (!prefix)
 		return;
-	p = prefix_place(route, prefix, endpoint);
+	p = prefix_slot(route, prefix, endpoint);
 	p->prefix = prefix;
 	p->endpoint = endpoint;
 	p->tokens = prompt_tokens;
-	p->until = now + PREFIX_SPAN;
+	p->until = now + PREFIX_LIFETIME;
 }
 
 static double cached_tokens(const route_t *route, pimento_usec_t now,
@@ -212,17 +215,17 @@
 
 	if (!query->prefix)
 		return 0;
-	p = prefix_place(route, query->prefix, endpoint);
+	p = prefix_slot(route, query->prefix, endpoint);
 	if (p->prefix != query->prefix || p->endpoint != endpoint ||
 	    now > p->until)
 		return 0;
 	tokens = p->tokens;
 	if (tokens > query->prompt_tokens)
 		tokens = query->prompt_tokens;
-	return tokens * PREFIX_PART;
+	return tokens * PREFIX_CACHED_SHARE;
 }
 
-void route_leaving(route_t *route, pimento_id_t endpoint, bool leaving)
+void route_set_leaving(route_t *route, pimento_id_t endpoint, bool leaving)
 {
 	route_endpoint_t *e = find(route, endpoint);
 
@@ -230,12 +233,13 @@
 		e->leaving = leaving;
 }
 
-void route_failed(route_t *route, pimento_usec_t now, pimento_id_t endpoint)
+void route_endpoint_failed(route_t *route, pimento_usec_t now,
+			   pimento_id_t endpoint)
 {
 	route_endpoint_t *e = find(route, endpoint);
 
 	if (e)
-		e->failed_until = now + FAILED_SPAN;
+		e->failed_until = now + FAILED_AVOID_SPAN;
 }
 
 /* The best rates known of any endpoint: what an unknown one is taken to have,
@@ -243,7 +247,7 @@
 typedef struct rates {
 	double prefill;
 	double decode;
-	double service;
+	double service_seconds;
 } rates_t;
 
 static double prefill_of(const route_endpoint_t *e)
@@ -258,11 +262,11 @@
 					  : e->decode;
 }
 
-/* Seconds of a plain service's answer. */
+/* Seconds of a plain service_seconds's answer. */
 static double service_of(const route_endpoint_t *e)
 {
 	return e->summary.decode_rate > 0 ? 1 / (double)e->summary.decode_rate
-					  : e->service;
+					  : e->service_seconds;
 }
 
 static bool serves(const route_endpoint_t *e, const route_query_t *query)
@@ -282,30 +286,31 @@
 			continue;
 		best.prefill = larger(best.prefill, prefill_of(e));
 		best.decode = larger(best.decode, decode_of(e));
-		if (service_of(e) > 0 &&
-		    (best.service <= 0 || service_of(e) < best.service))
-			best.service = service_of(e);
+		if (service_of(e) > 0 && (best.service_seconds <= 0 ||
+					  service_of(e) < best.service_seconds))
+			best.service_seconds = service_of(e);
 	}
 	if (best.prefill <= 0)
-		best.prefill = GUESS_PREFILL;
+		best.prefill = DEFAULT_PREFILL_RATE;
 	if (best.decode <= 0)
-		best.decode = GUESS_DECODE;
-	if (best.service <= 0)
-		best.service = GUESS_SERVICE;
+		best.decode = DEFAULT_DECODE_RATE;
+	if (best.service_seconds <= 0)
+		best.service_seconds = DEFAULT_SERVICE_S;
 	return best;
 }
 
-/* Seconds of service without any line. */
-static double service(const route_t *route, pimento_usec_t now,
-		      const route_query_t *query, const route_endpoint_t *e,
-		      const rates_t *best)
+/* Seconds of service_seconds without any queue_seconds. */
+static double service_seconds(const route_t *route, pimento_usec_t now,
+			      const route_query_t *query,
+			      const route_endpoint_t *e, const rates_t *best)
 {
 	double prefill = prefill_of(e) > 0 ? prefill_of(e) : best->prefill;
 	double decode = decode_of(e) > 0 ? decode_of(e) : best->decode;
 	double prompt = query->prompt_tokens;
 
 	if (e->target == CONFIG_TARGET_SERVICE)
-		return service_of(e) > 0 ? service_of(e) : best->service;
+		return service_of(e) > 0 ? service_of(e)
+					 : best->service_seconds;
 	prompt -= cached_tokens(route, now, query, e->id);
 	if (!query->tier) /* for the others they are in the wait */
 		prompt += e->summary.waiting_tokens;
@@ -313,12 +318,13 @@
 }
 
 /* Seconds until it is granted, as the owner said, and what was sent since. */
-static double line(const route_query_t *query, const route_endpoint_t *e)
+static double queue_seconds(const route_query_t *query,
+			    const route_endpoint_t *e)
 {
-	return e->summary.wait_ms[query->tier] / 1000.0 + e->sent;
+	return e->summary.wait_ms[query->tier] / 1000.0 + e->pending_work;
 }
 
-static bool avoided(const route_query_t *query, pimento_id_t id)
+static bool is_avoided(const route_query_t *query, pimento_id_t id)
 {
 	for (uint32_t i = 0; i < query->avoid_count; i++)
 		if (query->avoid[i] == id)
@@ -326,27 +332,27 @@
 	return false;
 }
 
-static bool usable(const route_endpoint_t *e, pimento_usec_t now,
-		   const route_query_t *query)
+static bool is_usable(const route_endpoint_t *e, pimento_usec_t now,
+		      const route_query_t *query)
 {
 	if (!serves(e, query) || e->leaving || e->summary.leaving)
 		return false;
-	if (now < e->failed_until || avoided(query, e->id))
+	if (now < e->failed_until || is_avoided(query, e->id))
 		return false;
 	return !e->context_tokens ||
 	       query->prompt_tokens + query->answer_tokens <= e->context_tokens;
 }
 
 /* Seconds that an ordinary endpoint reads this prompt. */
-static double reading(const route_query_t *query, const rates_t *best)
+static double prefill_seconds(const route_query_t *query, const rates_t *best)
 {
 	return query->prompt_tokens / best->prefill;
 }
 
-static bool lengthy(const route_query_t *query, const rates_t *best)
+static bool is_long_prompt(const route_query_t *query, const rates_t *best)
 {
 	return query->target == CONFIG_TARGET_MODEL && query->tier &&
-	       reading(query, best) > LENGTHY;
+	       prefill_seconds(query, best) > LONG_PROMPT_S;
 }
 
 /*
@@ -354,7 +360,8 @@
  * their ids, on which all entries agree: were it the order of measured rates,
  * two entries would send long and short prompts to the same endpoint.
  */
-static void divide_target(route_endpoint_t **list, uint32_t count, double part)
+static void partition_target(route_endpoint_t **list, uint32_t count,
+			     double part)
 {
 	double all = 0;
 	double sum = 0;
@@ -364,23 +371,24 @@
 	for (uint32_t i = 0; i < count; i++) {
 		double one = larger(prefill_of(list[i]), 1) / all;
 
-		list[i]->kept = part > 0 && i + 1 < count &&
-				(!i || sum + one / 2 <= part);
+		list[i]->short_only = part > 0 && i + 1 < count &&
+				      (!i || sum + one / 2 <= part);
 		sum += one;
 	}
 }
 
 /* Divides the endpoints of every target anew, now and then. */
-static void divide(route_t *route, pimento_usec_t now)
+static void partition_endpoints(route_t *route, pimento_usec_t now)
 {
 	route_endpoint_t **list;
 
-	if (route->divided && now - route->divided < DIVIDE_SPAN)
+	if (route->partitioned_at &&
+	    now - route->partitioned_at < PARTITION_INTERVAL)
 		return;
-	route->divided = now;
+	route->partitioned_at = now;
 	list = malloc((route->count + 1) * sizeof(route_endpoint_t *));
-	for (int t = 0; list && t < MIX_TARGETS_MAX; t++) {
-		const mix_target_t *target = &route->mix.targets[t];
+	for (int t = 0; list && t < PROMPT_MIX_TARGETS_MAX; t++) {
+		const prompt_mix_target_t *target = &route->mix.targets[t];
 		uint32_t n = 0;
 
 		if (!target->name)
@@ -392,22 +400,24 @@
 			    !e->summary.leaving && now >= e->failed_until)
 				list[n++] = e;
 		}
-		divide_target(list, n, mix_kept(target));
+		partition_target(list, n, prompt_mix_short_share(target));
 	}
 	free(list);
 }
 
-/* Which endpoints a choice is among. */
-typedef enum among { AMONG_ALL, AMONG_KEPT, AMONG_OTHERS } among_t;
+/* Which endpoints a choice is subset. */
+typedef enum subset { SUBSET_ALL, SUBSET_SHORT_ONLY, SUBSET_OTHERS } subset_t;
 
-static bool is_among(const route_endpoint_t *e, among_t among)
+static bool is_in_subset(const route_endpoint_t *e, subset_t subset)
 {
-	return among == AMONG_ALL || e->kept == (among == AMONG_KEPT);
+	return subset == SUBSET_ALL ||
+	       e->short_only == (subset == SUBSET_SHORT_ONLY);
 }
 
-static route_endpoint_t *pick(route_t *route, pimento_usec_t now,
-			      const route_query_t *query, const rates_t *best,
-			      among_t among, double *least)
+static route_endpoint_t *pick_fastest(route_t *route, pimento_usec_t now,
+				      const route_query_t *query,
+				      const rates_t *best, subset_t subset,
+				      double *least)
 {
 	route_endpoint_t *found = NULL;
 
@@ -416,10 +426,10 @@
 		double one;
 		double all;
 
-		if (!usable(e, now, query) || !is_among(e, among))
+		if (!is_usable(e, now, query) || !is_in_subset(e, subset))
 			continue;
-		one = service(route, now, query, e, best);
-		all = one + line(query, e);
+		one = service_seconds(route, now, query, e, best);
+		all = one + queue_seconds(query, e);
 		all *= 1 + JITTER * pimento_random_unit(&route->random);
 		if (!found || all < *least) {
 			found = e;
@@ -431,18 +441,18 @@
 
 /*
  * A short request that is more urgent than long ones goes where no long prompt
- * comes while that is quick enough, even if another endpoint is quicker just
+ * comes while that is quick enough, even if choose_another endpoint is quicker just
  * now: there it would hold up the next long prompt, which may not use up its
  * slack.
  */
-static bool keeps_apart(route_t *route, const route_query_t *query)
+static bool prefers_short_only(route_t *route, const route_query_t *query)
 {
-	mix_target_t *target;
+	prompt_mix_target_t *target;
 
 	if (query->target != CONFIG_TARGET_MODEL)
 		return false;
-	target = mix_target(&route->mix, pimento_id(query->target_name));
-	return target && query->tier <= mix_last(target);
+	target = prompt_mix_target(&route->mix, pimento_id(query->target_name));
+	return target && query->tier <= prompt_mix_lowest_long_tier(target);
 }
 
 static route_endpoint_t *pick_short(route_t *route, pimento_usec_t now,
@@ -451,52 +461,55 @@
 {
 	route_endpoint_t *found = NULL;
 
-	if (keeps_apart(route, query))
-		found = pick(route, now, query, best, AMONG_KEPT, least);
-	if (found &&
-	    *least * PIMENTO_SEC <= (double)query->patience * QUICK_PART)
+	if (prefers_short_only(route, query))
+		found = pick_fastest(route, now, query, best, SUBSET_SHORT_ONLY,
+				     least);
+	if (found && *least * PIMENTO_SEC <=
+			     (double)query->time_left * SHORT_ONLY_TIME_SHARE)
 		return found;
-	return pick(route, now, query, best, AMONG_ALL, least);
+	return pick_fastest(route, now, query, best, SUBSET_ALL, least);
 }
 
 /* Seconds of an ordinary endpoint's time. */
-static double work(const route_query_t *query, const rates_t *best)
+static double work_seconds(const route_query_t *query, const rates_t *best)
 {
 	if (query->target == CONFIG_TARGET_SERVICE)
-		return best->service / SIDE_BY_SIDE;
-	return reading(query, best) +
-	       query->answer_tokens / best->decode / SIDE_BY_SIDE;
+		return best->service_seconds / DECODE_PARALLELISM;
+	return prefill_seconds(query, best) +
+	       query->answer_tokens / best->decode / DECODE_PARALLELISM;
 }
 
-static void note_work(route_t *route, pimento_usec_t now,
-		      const route_query_t *query, const rates_t *best)
+static void record_work(route_t *route, pimento_usec_t now,
+			const route_query_t *query, const rates_t *best)
 {
-	mix_target_t *target;
+	prompt_mix_target_t *target;
 
 	if (query->target != CONFIG_TARGET_MODEL)
 		return;
-	target = mix_target(&route->mix, pimento_id(query->target_name));
+	target = prompt_mix_target(&route->mix, pimento_id(query->target_name));
 	if (target)
-		mix_note(target, now, query->tier, work(query, best),
-			 lengthy(query, best));
+		prompt_mix_record(target, now, query->tier,
+				  work_seconds(query, best),
+				  is_long_prompt(query, best));
 }
 
 static int choose(route_t *route, pimento_usec_t now,
-		  const route_query_t *query, bool kept_too,
+		  const route_query_t *query, bool allow_short_only,
 		  route_choice_t *choice)
 {
 	rates_t best = best_rates(route, query);
 	double least = 0;
 	route_endpoint_t *found;
 
-	if (lengthy(query, &best))
-		found = pick(route, now, query, &best,
-			     kept_too ? AMONG_ALL : AMONG_OTHERS, &least);
+	if (is_long_prompt(query, &best))
+		found = pick_fastest(
+			route, now, query, &best,
+			allow_short_only ? SUBSET_ALL : SUBSET_OTHERS, &least);
 	else
 		found = pick_short(route, now, query, &best, &least);
 	if (!found)
 		return PIMENTO_EUNREACHABLE;
-	found->sent += work(query, &best);
+	found->pending_work += work_seconds(query, &best);
 	choice->endpoint = found->id;
 	choice->expected = (pimento_usec_t)(least * PIMENTO_SEC);
 	return 0;
@@ -507,8 +520,8 @@
 {
 	rates_t best = best_rates(route, query);
 
-	note_work(route, now, query, &best);
-	divide(route, now);
+	record_work(route, now, query, &best);
+	partition_endpoints(route, now);
 	if (!choose(route, now, query, false, choice))
 		return 0;
 	return choose(route, now, query, true, choice);
@@ -519,7 +532,8 @@
 	memset(retry, 0, sizeof(*retry));
 }
 
-static bool listed(const pimento_id_t *ids, uint32_t count, pimento_id_t id)
+static bool contains_id(const pimento_id_t *ids, uint32_t count,
+			pimento_id_t id)
 {
 	for (uint32_t i = 0; i < count; i++)
 		if (ids[i] == id)
@@ -527,45 +541,46 @@
 	return false;
 }
 
-static void note(route_retry_t *retry, pimento_id_t endpoint,
-		 const message_refuse_t *refuse)
+static void record_refusal(route_retry_t *retry, pimento_id_t endpoint,
+			   const message_refuse_t *refuse)
 {
 	if (!retry->reason)
 		retry->reason = refuse->reason;
 	if (!retry->retry_after || refuse->retry_after < retry->retry_after)
 		retry->retry_after = refuse->retry_after;
-	if (refuse->reason == PIMENTO_ESTALE && retry->moved < MOVED_MAX) {
-		retry->moved++;
+	if (refuse->reason == PIMENTO_ESTALE &&
+	    retry->owner_changes < OWNER_CHANGES_MAX) {
+		retry->owner_changes++;
 		return;
 	}
-	if (retry->count < ROUTE_VISITS_MAX &&
-	    !listed(retry->refused, retry->count, endpoint))
-		retry->refused[retry->count++] = endpoint;
+	if (retry->refused_count < ROUTE_ATTEMPTS_MAX &&
+	    !contains_id(retry->refused, retry->refused_count, endpoint))
+		retry->refused[retry->refused_count++] = endpoint;
 }
 
 /* An endpoint that should still finish it in time. */
-static bool another(route_t *route, pimento_usec_t now,
-		    const route_retry_t *retry, const route_query_t *query,
-		    route_choice_t *choice)
+static bool choose_another(route_t *route, pimento_usec_t now,
+			   const route_retry_t *retry,
+			   const route_query_t *query, route_choice_t *choice)
 {
 	route_query_t q = *query;
 
-	if (retry->count >= ROUTE_VISITS_MAX)
+	if (retry->refused_count >= ROUTE_ATTEMPTS_MAX)
 		return false;
 	q.avoid = retry->refused;
-	q.avoid_count = retry->count;
+	q.avoid_count = retry->refused_count;
 	return !choose(route, now, &q, false, choice) &&
-	       choice->expected <= query->patience;
+	       choice->expected <= query->time_left;
 }
 
 /*
  * True if an idle endpoint might do it within the span it came with. By the
  * best rates, not those of now, and generously, for endpoints that have been
  * busy all along never showed their best: a request that is late only because
- * of that is one that less urgent work must not outlive.
+ * of that is one that less urgent work_seconds must not outlive.
  */
-static bool feasible(const route_t *route, pimento_usec_t now,
-		     const route_query_t *query, pimento_usec_t patience)
+static bool is_feasible(const route_t *route, pimento_usec_t now,
+			const route_query_t *query, pimento_usec_t patience)
 {
 	rates_t best = best_rates(route, query);
 	route_query_t q = *query;
@@ -575,48 +590,49 @@
 		const route_endpoint_t *e = &route->endpoints[i];
 		double seconds;
 
-		if (!usable(e, now, &q))
+		if (!is_usable(e, now, &q))
 			continue;
 		if (e->target == CONFIG_TARGET_SERVICE)
-			seconds = best.service;
+			seconds = best.service_seconds;
 		else
-			seconds = q.prompt_tokens / larger(e->prefill_best,
+			seconds = q.prompt_tokens / larger(e->prefill_rate_max,
 							   best.prefill) +
-				  q.answer_tokens /
-					  larger(e->decode_best, best.decode);
-		if (seconds * HOPELESS <= (double)patience)
+				  q.answer_tokens / larger(e->decode_rate_max,
+							   best.decode);
+		if (seconds * FEASIBLE_FACTOR <= (double)patience)
 			return true;
 	}
 	return false;
 }
 
 /*
- * An owner that may have less urgent work and had no last visit yet. One of an
+ * An owner that may have less urgent work_seconds and had no last visit yet. One of an
  * endpoint that is kept free of such a long prompt only sheds.
  */
-static bool last_visit(route_t *route, pimento_usec_t now, route_retry_t *retry,
-		       const route_query_t *query, route_choice_t *choice,
-		       uint8_t *hops)
+static bool choose_final_attempt(route_t *route, pimento_usec_t now,
+				 route_retry_t *retry,
+				 const route_query_t *query,
+				 route_choice_t *choice, uint8_t *hops)
 {
 	route_query_t q = *query;
 
 	/* One that was let wait at its last visit comes back when others have
-	 * let less urgent work in again. */
-	if (now - retry->last_visit > OWNER_FLOOR / 2) {
-		retry->last_count = 0;
-		retry->last_visit = now;
+	 * let less urgent work_seconds in again. */
+	if (now - retry->final_since > OWNER_TIER_FLOOR_SPAN / 2) {
+		retry->final_count = 0;
+		retry->final_since = now;
 	}
-	if (retry->last_count >= ROUTE_VISITS_MAX)
+	if (retry->final_count >= ROUTE_ATTEMPTS_MAX)
 		return false;
-	q.avoid = retry->last;
-	q.avoid_count = retry->last_count;
-	*hops = OWNER_HOPS_LAST;
+	q.avoid = retry->final;
+	q.avoid_count = retry->final_count;
+	*hops = OWNER_HOPS_FINAL;
 	if (choose(route, now, &q, false, choice)) {
-		*hops = OWNER_HOPS_SHED;
+		*hops = OWNER_HOPS_SHED_ONLY;
 		if (choose(route, now, &q, true, choice))
 			return false;
 	}
-	retry->last[retry->last_count++] = choice->endpoint;
+	retry->final[retry->final_count++] = choice->endpoint;
 	return true;
 }
 
@@ -626,15 +642,15 @@
 		  route_choice_t *choice, uint8_t *hops)
 {
 	if (refuse->summary.endpoint)
-		route_learn(route, now, &refuse->summary);
-	note(retry, endpoint, refuse);
-	if (another(route, now, retry, query, choice)) {
-		*hops = (uint8_t)retry->count;
+		route_update_summary(route, now, &refuse->summary);
+	record_refusal(retry, endpoint, refuse);
+	if (choose_another(route, now, retry, query, choice)) {
+		*hops = (uint8_t)retry->refused_count;
 		return 0;
 	}
 	if (query->tier + 1U < route->tier_count &&
-	    feasible(route, now, query, patience) &&
-	    last_visit(route, now, retry, query, choice, hops))
+	    is_feasible(route, now, query, patience) &&
+	    choose_final_attempt(route, now, retry, query, choice, hops))
 		return 0;
 	return retry->reason;
 }
--- a/src/route.h
+++ b/src/route.h
@@ -9,7 +9,7 @@
 
 #include "config.h"
 #include "message.h"
-#include "mix.h"
+#include "prompt_mix.h"
 
 typedef struct route_endpoint route_endpoint_t;
 
@@ -21,15 +21,16 @@
 	uint32_t count;
 	uint32_t tier_count;
 	route_prefix_t *prefixes; /* where prompts were sent before */
-	mix_t mix;
-	pimento_usec_t divided; /* when endpoints were last divided by it */
+	prompt_mix_t mix;
+	pimento_usec_t
+		partitioned_at; /* when endpoints were last divided by it */
 } route_t;
 
 typedef struct route_query {
 	config_target_t target;
 	const char *target_name;
 	uint8_t tier;
-	pimento_usec_t patience; /* span left */
+	pimento_usec_t time_left; /* span left */
 	uint32_t prompt_tokens;
 	uint32_t answer_tokens;
 	uint64_t prefix;
@@ -51,23 +52,26 @@
 		    const pimento_config_t *config);
 
 /* What an owner said; older epochs of the same endpoint are ignored. */
-void route_learn(route_t *route, pimento_usec_t now,
-		 const message_summary_t *summary);
+void route_update_summary(route_t *route, pimento_usec_t now,
+			  const message_summary_t *summary);
 
 /* What this host measured of one answer; spans as in message_release_t. */
-void route_observe(route_t *route, pimento_usec_t now, pimento_id_t endpoint,
-		   uint32_t prompt_tokens, uint32_t answer_tokens,
-		   pimento_usec_t first_token, pimento_usec_t decode);
+void route_record_answer(route_t *route, pimento_usec_t now,
+			 pimento_id_t endpoint, uint32_t prompt_tokens,
+			 uint32_t answer_tokens, pimento_usec_t first_token,
+			 pimento_usec_t decode);
 
 /* A prompt with this prefix was dispatched there, so it is probably cached. */
-void route_placed(route_t *route, pimento_usec_t now, pimento_id_t endpoint,
-		  uint64_t prefix, uint32_t prompt_tokens);
+void route_record_prefix(route_t *route, pimento_usec_t now,
+			 pimento_id_t endpoint, uint64_t prefix,
+			 uint32_t prompt_tokens);
 
 /* Leaving or unreachable endpoints are never picked. */
-void route_leaving(route_t *route, pimento_id_t endpoint, bool leaving);
+void route_set_leaving(route_t *route, pimento_id_t endpoint, bool leaving);
 
 /* The endpoint refused a connection: avoid it for a while. */
-void route_failed(route_t *route, pimento_usec_t now, pimento_id_t endpoint);
+void route_endpoint_failed(route_t *route, pimento_usec_t now,
+			   pimento_id_t endpoint);
 
 /* Returns 0, or PIMENTO_EUNREACHABLE when no endpoint is left. */
 int route_pick(route_t *route, pimento_usec_t now, const route_query_t *query,
@@ -77,16 +81,17 @@
  * What an entry keeps of one request's refusals. Cleared memory, or
  * route_retry_init(), before the first; good for all of the request's life.
  */
-#define ROUTE_VISITS_MAX 16
+#define ROUTE_ATTEMPTS_MAX 16
 
 typedef struct route_retry {
-	pimento_id_t refused[ROUTE_VISITS_MAX]; /* endpoints that said no */
-	uint32_t count;
-	pimento_id_t last[ROUTE_VISITS_MAX]; /* ... and no for the last time */
-	uint32_t last_count;
+	pimento_id_t refused[ROUTE_ATTEMPTS_MAX]; /* endpoints that said no */
+	uint32_t refused_count;
+	pimento_id_t
+		final[ROUTE_ATTEMPTS_MAX]; /* ... and no for the last time */
+	uint32_t final_count;
 	pimento_usec_t
-		last_visit; /* the first of these; old ones do not count */
-	uint32_t moved; /* refusals because the owner had changed */
+		final_since; /* the first of these; old ones do not count */
+	uint32_t owner_changes; /* refusals because the owner had changed */
 	int reason; /* of the first refusal */
 	pimento_usec_t retry_after; /* the least that was said */
 } route_retry_t;
@@ -103,7 +108,7 @@
  * While an endpoint seems able to finish in time it is tried. Then, if the
  * request is not of the least urgent tier and could finish in time on an idle
  * endpoint (patience is the span it came with), each owner gets a last visit
- * (OWNER_HOPS_LAST), at which it takes the request or sheds everything less
+ * (OWNER_HOPS_FINAL), at which it takes the request or sheds everything less
  * urgent with it. So nothing less urgent waits at any owner within reach when
  * the request is given up.
  */
--- a/test/test_grants.c
+++ b/test/test_grants.c
@@ -5,7 +5,7 @@
 #include <check.h>
 #include <stdlib.h>
 
-enum { ENGINE = 7, PLACES = 4, HOST_A = 1, HOST_B = 2 };
+enum { ENGINE = 7, SLOTS = 4, HOST_A = 1, HOST_B = 2 };
 
 #define NOW (100 * PIMENTO_SEC)
 
@@ -21,24 +21,25 @@
 	grants_finish(&grants);
 }
 
-static void ask(uint64_t ticket, uint64_t rank, bool late, pimento_usec_t now)
+static void request_slot(uint64_t ticket, uint64_t rank, bool late,
+			 pimento_usec_t now)
 {
-	grants_ask_t question = { .endpoint = ENGINE,
-				  .address = HOST_A,
-				  .ticket = ticket,
-				  .rank = rank,
-				  .late = late,
-				  .wait = 250 * PIMENTO_MSEC };
+	grants_request_t request = { .endpoint = ENGINE,
+				     .address = HOST_A,
+				     .ticket = ticket,
+				     .rank = rank,
+				     .overdue = late,
+				     .queue_timeout = 250 * PIMENTO_MSEC };
 
-	ck_assert_int_eq(grants_ask(&grants, &question, now), 0);
+	ck_assert_int_eq(grants_request(&grants, &request, now), 0);
 }
 
-/* The ticket that gets the next place; 0 if none does. */
-static uint64_t next(pimento_usec_t now)
+/* The ticket that gets the next_grant place; 0 if none does. */
+static uint64_t next_grant(pimento_usec_t now)
 {
-	grants_ask_t granted;
+	grants_request_t granted;
 
-	return grants_next(&grants, ENGINE, PLACES, now, &granted)
+	return grants_grant_next(&grants, ENGINE, SLOTS, now, &granted)
 		       ? granted.ticket
 		       : 0;
 }
@@ -46,20 +47,20 @@
 static void fill(uint32_t count, pimento_usec_t now)
 {
 	for (uint64_t ticket = 1; ticket <= count; ticket++) {
-		ask(ticket, 5, false, now);
-		ck_assert_uint_eq(next(now), ticket);
+		request_slot(ticket, 5, false, now);
+		ck_assert_uint_eq(next_grant(now), ticket);
 	}
 }
 
-START_TEST(no_more_places_are_given_than_there_are)
+START_TEST(grants_do_not_exceed_slots)
 {
-	fill(PLACES, NOW);
-	ask(9, 0, false, NOW);
-	ck_assert_uint_eq(next(NOW), 0);
-	ck_assert_uint_eq(grants_running(&grants, ENGINE), PLACES);
+	fill(SLOTS, NOW);
+	request_slot(9, 0, false, NOW);
+	ck_assert_uint_eq(next_grant(NOW), 0);
+	ck_assert_uint_eq(grants_running(&grants, ENGINE), SLOTS);
 	ck_assert_uint_eq(grants_waiting(&grants, ENGINE), 1);
 	grants_release(&grants, ENGINE, HOST_A, 2);
-	ck_assert_uint_eq(next(NOW), 9);
+	ck_assert_uint_eq(next_grant(NOW), 9);
 }
 END_TEST
 
@@ -69,49 +70,49 @@
  * a request that is more urgent; the caller of that one sees short jobs
  * overtake.
  */
-START_TEST(a_place_goes_to_the_most_urgent_of_all_hosts)
+START_TEST(slot_goes_to_most_urgent_request_of_all_hosts)
 {
-	fill(PLACES, NOW);
-	ask(11, 2, false, NOW);
-	ask(12, 0, true, NOW + 1);
-	ask(13, 1, false, NOW + 2);
-	ask(14, 1, false, NOW + 3);
+	fill(SLOTS, NOW);
+	request_slot(11, 2, false, NOW);
+	request_slot(12, 0, true, NOW + 1);
+	request_slot(13, 1, false, NOW + 2);
+	request_slot(14, 1, false, NOW + 3);
 	for (uint64_t ticket = 1; ticket <= 3; ticket++)
 		grants_release(&grants, ENGINE, HOST_A, ticket);
-	ck_assert_uint_eq(next(NOW + 4), 13);
-	ck_assert_uint_eq(next(NOW + 4), 14);
-	ck_assert_uint_eq(next(NOW + 4), 11);
+	ck_assert_uint_eq(next_grant(NOW + 4), 13);
+	ck_assert_uint_eq(next_grant(NOW + 4), 14);
+	ck_assert_uint_eq(next_grant(NOW + 4), 11);
 	/* the late one, however urgent, goes after all that can be on time */
-	ask(15, 2, false, NOW + 4);
-	ck_assert_uint_eq(next(NOW + 4), 0);
+	request_slot(15, 2, false, NOW + 4);
+	ck_assert_uint_eq(next_grant(NOW + 4), 0);
 	grants_release(&grants, ENGINE, HOST_A, 11);
-	ck_assert_uint_eq(next(NOW + 4), 15);
+	ck_assert_uint_eq(next_grant(NOW + 4), 15);
 	grants_release(&grants, ENGINE, HOST_A, 13);
-	ck_assert_uint_eq(next(NOW + 4), 12);
+	ck_assert_uint_eq(next_grant(NOW + 4), 12);
 }
 END_TEST
 
 /*
- * A caller that was turned away comes back and waits again. Were the line in
+ * A caller that was turned away comes returning and waits again. Were the line in
  * order of arrival, it would stand behind those who have only just come, and
  * would be turned away a second time.
  */
-START_TEST(who_has_waited_longest_goes_first)
+START_TEST(longest_total_wait_is_granted_first)
 {
-	grants_ask_t back = { .endpoint = ENGINE,
-			      .address = HOST_B,
-			      .ticket = 12,
-			      .rank = 1,
-			      .wait = 250 * PIMENTO_MSEC,
-			      .ahead = 900 * PIMENTO_MSEC };
+	grants_request_t returning = { .endpoint = ENGINE,
+				       .address = HOST_B,
+				       .ticket = 12,
+				       .rank = 1,
+				       .queue_timeout = 250 * PIMENTO_MSEC,
+				       .head_start = 900 * PIMENTO_MSEC };
 
-	fill(PLACES, NOW);
-	ask(11, 1, false, NOW);
-	ck_assert_int_eq(grants_ask(&grants, &back, NOW + 1), 0);
+	fill(SLOTS, NOW);
+	request_slot(11, 1, false, NOW);
+	ck_assert_int_eq(grants_request(&grants, &returning, NOW + 1), 0);
 	grants_release(&grants, ENGINE, HOST_A, 1);
-	ck_assert_uint_eq(next(NOW + 2), 12);
+	ck_assert_uint_eq(next_grant(NOW + 2), 12);
 	grants_release(&grants, ENGINE, HOST_A, 2);
-	ck_assert_uint_eq(next(NOW + 2), 11);
+	ck_assert_uint_eq(next_grant(NOW + 2), 11);
 }
 END_TEST
 
@@ -122,37 +123,37 @@
  * would get it just too late, and callers see every answer miss its goal
  * although half of them could have been on time.
  */
-START_TEST(who_has_become_late_in_line_goes_behind)
+START_TEST(request_overdue_in_queue_is_granted_last)
 {
-	grants_ask_t old = { .endpoint = ENGINE,
-			     .address = HOST_A,
-			     .ticket = 21,
-			     .late_in = 100 * PIMENTO_MSEC,
-			     .wait = PIMENTO_SEC,
-			     .ahead = 900 * PIMENTO_MSEC };
-	grants_ask_t fresh = { .endpoint = ENGINE,
-			       .address = HOST_B,
-			       .ticket = 22,
-			       .late_in = 250 * PIMENTO_MSEC,
-			       .wait = PIMENTO_SEC };
+	grants_request_t older = { .endpoint = ENGINE,
+				   .address = HOST_A,
+				   .ticket = 21,
+				   .overdue_in = 100 * PIMENTO_MSEC,
+				   .queue_timeout = PIMENTO_SEC,
+				   .head_start = 900 * PIMENTO_MSEC };
+	grants_request_t newer = { .endpoint = ENGINE,
+				   .address = HOST_B,
+				   .ticket = 22,
+				   .overdue_in = 250 * PIMENTO_MSEC,
+				   .queue_timeout = PIMENTO_SEC };
 	pimento_usec_t now = NOW + 120 * PIMENTO_MSEC;
 
-	fill(PLACES, NOW);
-	ck_assert_int_eq(grants_ask(&grants, &old, NOW), 0);
-	ck_assert_int_eq(grants_ask(&grants, &fresh, now), 0);
+	fill(SLOTS, NOW);
+	ck_assert_int_eq(grants_request(&grants, &older, NOW), 0);
+	ck_assert_int_eq(grants_request(&grants, &newer, now), 0);
 	grants_release(&grants, ENGINE, HOST_A, 1);
-	ck_assert_uint_eq(next(now), 22);
+	ck_assert_uint_eq(next_grant(now), 22);
 	grants_release(&grants, ENGINE, HOST_A, 2);
-	ck_assert_uint_eq(next(now), 21);
+	ck_assert_uint_eq(next_grant(now), 21);
 }
 END_TEST
 
-START_TEST(an_ask_that_has_waited_too_long_gets_nothing)
+START_TEST(request_past_its_wait_gets_no_grant)
 {
-	fill(PLACES, NOW);
-	ask(9, 0, false, NOW);
+	fill(SLOTS, NOW);
+	request_slot(9, 0, false, NOW);
 	grants_release(&grants, ENGINE, HOST_A, 1);
-	ck_assert_uint_eq(next(NOW + PIMENTO_SEC), 0);
+	ck_assert_uint_eq(next_grant(NOW + PIMENTO_SEC), 0);
 	ck_assert_uint_eq(grants_waiting(&grants, ENGINE), 0);
 }
 END_TEST
@@ -168,11 +169,11 @@
  * taken for good, and the engine would idle a little more each time. A report
  * that was written before the grant arrived must not free it.
  */
-START_TEST(a_lost_release_is_made_up_by_the_hosts_own_word)
+START_TEST(report_recovers_lost_release)
 {
-	fill(PLACES, NOW);
+	fill(SLOTS, NOW);
 	report(HOST_A, 1, NOW + 100 * PIMENTO_MSEC);
-	ck_assert_uint_eq(grants_running(&grants, ENGINE), PLACES);
+	ck_assert_uint_eq(grants_running(&grants, ENGINE), SLOTS);
 	report(HOST_A, 1, NOW + PIMENTO_SEC);
 	ck_assert_uint_eq(grants_running(&grants, ENGINE), 1);
 }
@@ -182,16 +183,16 @@
  * The owner is killed and another host takes over, or it restarts: it has
  * granted nothing, though the engine is full.
  */
-START_TEST(a_new_owner_counts_what_hosts_say)
+START_TEST(new_owner_counts_reported_requests)
 {
 	report(HOST_A, 3, NOW);
 	report(HOST_B, 2, NOW);
-	ask(9, 0, false, NOW);
-	ck_assert_uint_eq(next(NOW), 0);
+	request_slot(9, 0, false, NOW);
+	ck_assert_uint_eq(next_grant(NOW), 0);
 	report(HOST_A, 1, NOW + PIMENTO_SEC);
 	report(HOST_B, 2, NOW + PIMENTO_SEC);
-	ask(10, 0, false, NOW + PIMENTO_SEC);
-	ck_assert_uint_eq(next(NOW + PIMENTO_SEC), 10);
+	request_slot(10, 0, false, NOW + PIMENTO_SEC);
+	ck_assert_uint_eq(next_grant(NOW + PIMENTO_SEC), 10);
 }
 END_TEST
 
@@ -199,35 +200,35 @@
  * Guards against reports that take a new owner's slots for requests that ended
  * since: their release frees the slot, though this owner did not grant it.
  */
-START_TEST(a_new_owner_frees_what_another_granted)
+START_TEST(new_owner_frees_foreign_grant_on_release)
 {
-	report(HOST_A, PLACES, NOW);
-	ask(9, 0, false, NOW);
-	ck_assert_uint_eq(next(NOW), 0);
+	report(HOST_A, SLOTS, NOW);
+	request_slot(9, 0, false, NOW);
+	ck_assert_uint_eq(next_grant(NOW), 0);
 	grants_release(&grants, ENGINE, HOST_A, 77);
-	ck_assert_uint_eq(next(NOW), 9);
-	ck_assert_uint_eq(grants_running(&grants, ENGINE), PLACES);
+	ck_assert_uint_eq(next_grant(NOW), 9);
+	ck_assert_uint_eq(grants_running(&grants, ENGINE), SLOTS);
 }
 END_TEST
 
 /* Guards against a pace report, which has no ticket, that frees a slot. */
-START_TEST(a_release_without_a_ticket_frees_nothing)
+START_TEST(release_without_ticket_frees_nothing)
 {
-	report(HOST_A, PLACES, NOW);
+	report(HOST_A, SLOTS, NOW);
 	grants_release(&grants, ENGINE, HOST_A, 0);
-	ck_assert_uint_eq(grants_running(&grants, ENGINE), PLACES);
+	ck_assert_uint_eq(grants_running(&grants, ENGINE), SLOTS);
 }
 END_TEST
 
 /* Guards against slots that a host without power holds for good. */
-START_TEST(what_no_host_reports_lapses)
+START_TEST(unreported_grants_expire)
 {
 	const pimento_usec_t end = NOW + GRANTS_LEASE + PIMENTO_MSEC;
 
 	fill(2, NOW);
 	report(HOST_B, 2, NOW);
 	grants_expire(&grants, ENGINE, NOW + GRANTS_LEASE);
-	ck_assert_uint_eq(grants_running(&grants, ENGINE), PLACES);
+	ck_assert_uint_eq(grants_running(&grants, ENGINE), SLOTS);
 	report(HOST_A, 2, NOW + GRANTS_LEASE);
 	grants_expire(&grants, ENGINE, end);
 	ck_assert_uint_eq(grants_running(&grants, ENGINE), 2);
@@ -240,10 +241,10 @@
  * Guards against a report that takes slots beside the grants that it is about:
  * with many hosts a third of an engine would look taken.
  */
-START_TEST(a_report_takes_no_slot_beside_the_grants)
+START_TEST(report_does_not_count_grants_twice)
 {
 	report(HOST_B, 0, NOW);
-	fill(PLACES, NOW + 5 * PIMENTO_SEC);
+	fill(SLOTS, NOW + 5 * PIMENTO_SEC);
 	for (uint64_t ticket = 1; ticket <= 3; ticket++)
 		grants_release(&grants, ENGINE, HOST_A, ticket);
 	report(HOST_A, 1, NOW + 6 * PIMENTO_SEC);
@@ -251,16 +252,17 @@
 }
 END_TEST
 
-START_TEST(a_request_that_goes_anyway_is_counted)
+START_TEST(unconditional_request_is_counted)
 {
-	grants_ask_t sure = {
-		.endpoint = ENGINE, .address = HOST_A, .ticket = 1, .sure = true
-	};
+	grants_request_t sure = { .endpoint = ENGINE,
+				  .address = HOST_A,
+				  .ticket = 1,
+				  .unconditional = true };
 
-	ck_assert_int_eq(grants_ask(&grants, &sure, NOW), 0);
+	ck_assert_int_eq(grants_request(&grants, &sure, NOW), 0);
 	ck_assert_uint_eq(grants_running(&grants, ENGINE), 1);
-	ck_assert_uint_eq(next(NOW), 0);
-	grants_forget(&grants, ENGINE);
+	ck_assert_uint_eq(next_grant(NOW), 0);
+	grants_remove_endpoint(&grants, ENGINE);
 	ck_assert_uint_eq(grants_running(&grants, ENGINE), 0);
 }
 END_TEST
@@ -273,18 +275,18 @@
 	int failed;
 
 	tcase_add_checked_fixture(tests, setup, teardown);
-	tcase_add_test(tests, no_more_places_are_given_than_there_are);
-	tcase_add_test(tests, a_place_goes_to_the_most_urgent_of_all_hosts);
-	tcase_add_test(tests, who_has_waited_longest_goes_first);
-	tcase_add_test(tests, who_has_become_late_in_line_goes_behind);
-	tcase_add_test(tests, an_ask_that_has_waited_too_long_gets_nothing);
-	tcase_add_test(tests, a_lost_release_is_made_up_by_the_hosts_own_word);
-	tcase_add_test(tests, a_new_owner_counts_what_hosts_say);
-	tcase_add_test(tests, a_new_owner_frees_what_another_granted);
-	tcase_add_test(tests, a_release_without_a_ticket_frees_nothing);
-	tcase_add_test(tests, what_no_host_reports_lapses);
-	tcase_add_test(tests, a_report_takes_no_slot_beside_the_grants);
-	tcase_add_test(tests, a_request_that_goes_anyway_is_counted);
+	tcase_add_test(tests, grants_do_not_exceed_slots);
+	tcase_add_test(tests, slot_goes_to_most_urgent_request_of_all_hosts);
+	tcase_add_test(tests, longest_total_wait_is_granted_first);
+	tcase_add_test(tests, request_overdue_in_queue_is_granted_last);
+	tcase_add_test(tests, request_past_its_wait_gets_no_grant);
+	tcase_add_test(tests, report_recovers_lost_release);
+	tcase_add_test(tests, new_owner_counts_reported_requests);
+	tcase_add_test(tests, new_owner_frees_foreign_grant_on_release);
+	tcase_add_test(tests, release_without_ticket_frees_nothing);
+	tcase_add_test(tests, unreported_grants_expire);
+	tcase_add_test(tests, report_does_not_count_grants_twice);
+	tcase_add_test(tests, unconditional_request_is_counted);
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_lines.c
+++ b/test/test_lines.c
@@ -36,7 +36,7 @@
 	pimento_usec_t arrived;
 	pimento_usec_t started; /* 0: not yet */
 	pimento_usec_t over_at; /* 0: waits */
-	uint32_t engines[GRANTS_LINES];
+	uint32_t engines[GRANTS_QUEUES_MAX];
 	uint32_t lines;
 	uint32_t engine; /* where it runs */
 	bool ended;
@@ -82,7 +82,7 @@
 		       ticket_of(run, request, engine));
 }
 
-static void start(run_t *run, const grants_ask_t *given, pimento_usec_t now)
+static void start(run_t *run, const grants_request_t *given, pimento_usec_t now)
 {
 	request_t *request = &run->requests[(given->ticket - 1) / ENGINES];
 
@@ -104,10 +104,11 @@
 
 static void give(run_t *run, pimento_usec_t now)
 {
-	grants_ask_t given;
+	grants_request_t given;
 
 	for (uint32_t engine = 0; engine < ENGINES; engine++)
-		while (grants_next(&run->grants, engine, SLOTS, now, &given))
+		while (grants_grant_next(&run->grants, engine, SLOTS, now,
+					 &given))
 			start(run, &given, now);
 }
 
@@ -128,16 +129,18 @@
 	run->came[rank]++;
 	while (request->lines < run->lines) {
 		uint32_t engine = (uint32_t)(draw(run) % ENGINES);
-		grants_ask_t ask = { .endpoint = engine,
-				     .address = 1,
-				     .ticket = ticket_of(run, request, engine),
-				     .rank = rank,
-				     .wait = kinds[rank].patience };
+		grants_request_t ask = {
+			.endpoint = engine,
+			.address = 1,
+			.ticket = ticket_of(run, request, engine),
+			.rank = rank,
+			.queue_timeout = kinds[rank].patience
+		};
 
 		if (stands_at(request, engine))
 			continue;
 		request->engines[request->lines++] = engine;
-		ck_assert_int_eq(grants_ask(&run->grants, &ask, now), 0);
+		ck_assert_int_eq(grants_request(&run->grants, &ask, now), 0);
 	}
 }
 
@@ -203,7 +206,7 @@
 	run_t many;
 
 	play(&one, 1, 1.33);
-	play(&many, GRANTS_LINES, 1.33);
+	play(&many, GRANTS_QUEUES_MAX, 1.33);
 	ck_assert_msg(share(&many, 0) > 0.99, "%f", share(&many, 0));
 	ck_assert_msg(share(&many, 1) > 0.97, "%f", share(&many, 1));
 	ck_assert_msg(share(&many, 1) > share(&one, 1) + 0.02, "%f %f",
@@ -219,7 +222,7 @@
 {
 	run_t run;
 
-	play(&run, GRANTS_LINES, 0.85);
+	play(&run, GRANTS_QUEUES_MAX, 0.85);
 	for (uint32_t rank = 0; rank < RANKS; rank++)
 		ck_assert_msg(share(&run, rank) > 0.99, "%u: %f", rank,
 			      share(&run, rank));
--- a/test/test_owner.c
+++ b/test/test_owner.c
@@ -27,7 +27,7 @@
 
 	ck_assert_int_eq(outbox_init(&out, 1024), 0);
 	ck_assert_int_eq(owner_init(&owner, &options, &out), 0);
-	ck_assert_int_eq(owner_take(&owner, 0, &engine, 1, 1.0), 0);
+	ck_assert_int_eq(owner_add_endpoint(&owner, 0, &engine, 1, 1.0), 0);
 }
 
 static void teardown(void)
@@ -79,8 +79,8 @@
 	ck_assert_int_eq(owner_receive(&owner, now, ENTRY, &m), 0);
 }
 
-/* Takes the next message; the request's number, and the kind in *kind. */
-static uint64_t next(message_kind_t *kind, int *reason)
+/* Takes the next_message message; the request's number, and the kind in *kind. */
+static uint64_t next_message(message_kind_t *kind, int *reason)
 {
 	pimento_id_t to;
 	message_t m;
@@ -98,11 +98,11 @@
 	return m.u.refuse.request.lo;
 }
 
-static void expect(message_kind_t kind, uint64_t n, int reason)
+static void expect_message(message_kind_t kind, uint64_t n, int reason)
 {
 	message_kind_t got;
 	int why = 0;
-	uint64_t number = next(&got, &why);
+	uint64_t number = next_message(&got, &why);
 
 	ck_assert_str_eq(message_kind_name(got), message_kind_name(kind));
 	ck_assert_uint_eq(number, n);
@@ -110,43 +110,43 @@
 }
 
 /* Fills all slots: three that any tier may use and the urgent one. */
-static void fill(void)
+static void fill_slots(void)
 {
 	for (uint64_t n = 1; n <= 4; n++) {
 		reserve(n, 0);
-		expect(MESSAGE_GRANT, n, 0);
+		expect_message(MESSAGE_GRANT, n, 0);
 		progress(n, 0);
 	}
 }
 
-START_TEST(tier_goes_before_arrival)
+START_TEST(urgent_tier_is_granted_first)
 {
-	fill();
+	fill_slots();
 	reserve(10, 2);
-	expect(MESSAGE_WAIT, 10, 0);
+	expect_message(MESSAGE_WAIT, 10, 0);
 	reserve(11, 1);
-	expect(MESSAGE_WAIT, 11, 0);
+	expect_message(MESSAGE_WAIT, 11, 0);
 	reserve(12, 0);
-	expect(MESSAGE_WAIT, 12, 0);
+	expect_message(MESSAGE_WAIT, 12, 0);
 	release(1);
-	expect(MESSAGE_GRANT, 12, 0);
+	expect_message(MESSAGE_GRANT, 12, 0);
 	release(2);
 	release(12);
-	expect(MESSAGE_GRANT, 11, 0);
-	expect(MESSAGE_NONE, 0, 0);
+	expect_message(MESSAGE_GRANT, 11, 0);
+	expect_message(MESSAGE_NONE, 0, 0);
 }
 END_TEST
 
-START_TEST(room_is_kept_for_urgent_requests)
+START_TEST(slots_are_reserved_for_urgent_tier)
 {
 	for (uint64_t n = 1; n <= 3; n++) {
 		reserve(n, 1);
-		expect(MESSAGE_GRANT, n, 0);
+		expect_message(MESSAGE_GRANT, n, 0);
 	}
 	reserve(4, 1);
-	expect(MESSAGE_WAIT, 4, 0);
+	expect_message(MESSAGE_WAIT, 4, 0);
 	reserve(5, 0);
-	expect(MESSAGE_GRANT, 5, 0);
+	expect_message(MESSAGE_GRANT, 5, 0);
 }
 END_TEST
 
@@ -154,48 +154,48 @@
  * One account sends far more than the others. Its requests came first, so in
  * order of arrival the small account would wait behind all of them.
  */
-START_TEST(large_account_does_not_starve_small)
+START_TEST(busy_account_does_not_starve_others)
 {
-	fill();
+	fill_slots();
 	for (uint64_t n = 10; n <= 12; n++) {
 		reserve(n, 1);
-		expect(MESSAGE_WAIT, n, 0);
+		expect_message(MESSAGE_WAIT, n, 0);
 	}
 	reserve_of(13, 1, 1, ACCOUNT_SMALL, 60 * PIMENTO_SEC, 0, 0);
-	expect(MESSAGE_WAIT, 13, 0);
+	expect_message(MESSAGE_WAIT, 13, 0);
 	release(1);
 	release(2);
-	expect(MESSAGE_GRANT, 10, 0);
+	expect_message(MESSAGE_GRANT, 10, 0);
 	release(3);
-	expect(MESSAGE_GRANT, 13, 0);
+	expect_message(MESSAGE_GRANT, 13, 0);
 }
 END_TEST
 
 START_TEST(earliest_deadline_first_within_an_account)
 {
-	fill();
+	fill_slots();
 	reserve_of(10, 1, 0, ACCOUNT_LARGE, 50 * PIMENTO_SEC, 0, 0);
-	expect(MESSAGE_WAIT, 10, 0);
+	expect_message(MESSAGE_WAIT, 10, 0);
 	reserve_of(11, 1, 0, ACCOUNT_LARGE, 40 * PIMENTO_SEC, 0, 0);
-	expect(MESSAGE_WAIT, 11, 0);
+	expect_message(MESSAGE_WAIT, 11, 0);
 	release(1);
-	expect(MESSAGE_GRANT, 11, 0);
+	expect_message(MESSAGE_GRANT, 11, 0);
 }
 END_TEST
 
 /* The owner's table is full. Somebody is told to go; it is the least urgent. */
-START_TEST(full_table_displaces_the_lowest_tier)
+START_TEST(full_table_evicts_lowest_tier)
 {
-	fill();
+	fill_slots();
 	for (uint64_t n = 10; n <= 13; n++) {
 		reserve(n, n == 12 ? 2 : 1);
-		expect(MESSAGE_WAIT, n, 0);
+		expect_message(MESSAGE_WAIT, n, 0);
 	}
 	reserve(14, 0);
-	expect(MESSAGE_REFUSE, 12, PIMENTO_EBUSY);
-	expect(MESSAGE_WAIT, 14, 0);
+	expect_message(MESSAGE_REFUSE, 12, PIMENTO_EBUSY);
+	expect_message(MESSAGE_WAIT, 14, 0);
 	reserve(15, 3);
-	expect(MESSAGE_REFUSE, 15, PIMENTO_EBUSY);
+	expect_message(MESSAGE_REFUSE, 15, PIMENTO_EBUSY);
 }
 END_TEST
 
@@ -207,7 +207,7 @@
 	message_t first = { .kind = MESSAGE_PROGRESS };
 
 	reserve(99, 0);
-	expect(MESSAGE_GRANT, 99, 0);
+	expect_message(MESSAGE_GRANT, 99, 0);
 	first.u.progress.request.lo = 99;
 	first.u.progress.round = 1;
 	first.u.progress.endpoint = engine.id;
@@ -229,18 +229,18 @@
  * All callers of a new endpoint want long answers in little time. If a guessed
  * rate refused them, nobody would ever learn that the endpoint is fast.
  */
-START_TEST(guess_refuses_nothing)
+START_TEST(unmeasured_endpoint_refuses_nothing)
 {
 	reserve_of(1, 1, 0, ACCOUNT_LARGE, 10 * PIMENTO_MSEC, 0, 0);
-	expect(MESSAGE_GRANT, 1, 0);
+	expect_message(MESSAGE_GRANT, 1, 0);
 }
 END_TEST
 
-START_TEST(late_is_refused_at_once)
+START_TEST(infeasible_deadline_is_refused_at_once)
 {
 	learn_rates();
 	reserve_of(1, 1, 0, ACCOUNT_LARGE, 10 * PIMENTO_MSEC, 0, 0);
-	expect(MESSAGE_REFUSE, 1, PIMENTO_ELATE);
+	expect_message(MESSAGE_REFUSE, 1, PIMENTO_ELATE);
 }
 END_TEST
 
@@ -248,15 +248,15 @@
  * A request waits so long that it could no longer be answered in time. Its
  * caller is told then, not when the deadline has passed.
  */
-START_TEST(waiting_is_refused_when_it_can_no_longer_finish)
+START_TEST(queued_request_is_refused_once_infeasible)
 {
 	learn_rates();
-	fill();
+	fill_slots();
 	reserve_of(10, 1, 0, ACCOUNT_LARGE, 4 * PIMENTO_SEC, 0, 0);
-	expect(MESSAGE_WAIT, 10, 0);
+	expect_message(MESSAGE_WAIT, 10, 0);
 	ck_assert_int_lt(owner_deadline(&owner), 4 * PIMENTO_SEC);
 	owner_tick(&owner, owner_deadline(&owner));
-	expect(MESSAGE_REFUSE, 10, PIMENTO_ELATE);
+	expect_message(MESSAGE_REFUSE, 10, PIMENTO_ELATE);
 }
 END_TEST
 
@@ -264,141 +264,141 @@
  * An urgent request is given up because nobody can finish it. Were less urgent
  * work left waiting, it would have been shed after the urgent one.
  */
-START_TEST(last_visit_sheds_what_is_less_urgent)
+START_TEST(final_attempt_sheds_lower_tiers)
 {
 	learn_rates();
-	fill();
+	fill_slots();
 	reserve(10, 2);
-	expect(MESSAGE_WAIT, 10, 0);
+	expect_message(MESSAGE_WAIT, 10, 0);
 	reserve(11, 1);
-	expect(MESSAGE_WAIT, 11, 0);
-	reserve_of(12, 1, 0, ACCOUNT_LARGE, PIMENTO_MSEC, OWNER_HOPS_LAST, 0);
-	expect(MESSAGE_REFUSE, 10, PIMENTO_EBUSY);
-	expect(MESSAGE_REFUSE, 11, PIMENTO_EBUSY);
-	expect(MESSAGE_REFUSE, 12, PIMENTO_ELATE);
+	expect_message(MESSAGE_WAIT, 11, 0);
+	reserve_of(12, 1, 0, ACCOUNT_LARGE, PIMENTO_MSEC, OWNER_HOPS_FINAL, 0);
+	expect_message(MESSAGE_REFUSE, 10, PIMENTO_EBUSY);
+	expect_message(MESSAGE_REFUSE, 11, PIMENTO_EBUSY);
+	expect_message(MESSAGE_REFUSE, 12, PIMENTO_ELATE);
 	reserve(13, 1);
-	expect(MESSAGE_REFUSE, 13, PIMENTO_EBUSY);
+	expect_message(MESSAGE_REFUSE, 13, PIMENTO_EBUSY);
 	reserve(14, 0);
-	expect(MESSAGE_WAIT, 14, 0);
+	expect_message(MESSAGE_WAIT, 14, 0);
 }
 END_TEST
 
 /* An entry died with a grant in its hand; the slot must not be lost. */
-START_TEST(unused_grant_returns_its_slot)
+START_TEST(expired_grant_frees_its_slot)
 {
-	fill();
+	fill_slots();
 	release(4);
 	reserve(9, 0);
-	expect(MESSAGE_GRANT, 9, 0);
+	expect_message(MESSAGE_GRANT, 9, 0);
 	reserve(10, 0);
-	expect(MESSAGE_WAIT, 10, 0);
-	owner_tick(&owner, OWNER_LIFETIME);
-	expect(MESSAGE_GRANT, 10, 0);
+	expect_message(MESSAGE_WAIT, 10, 0);
+	owner_tick(&owner, OWNER_GRANT_LIFETIME);
+	expect_message(MESSAGE_GRANT, 10, 0);
 }
 END_TEST
 
 /* An entry died during an answer: nobody says anything of its slot any more. */
-START_TEST(silent_slot_is_freed_after_its_lease)
+START_TEST(slot_without_progress_is_freed_after_lease)
 {
-	fill();
+	fill_slots();
 	reserve(10, 0);
-	expect(MESSAGE_WAIT, 10, 0);
+	expect_message(MESSAGE_WAIT, 10, 0);
 	for (uint64_t n = 2; n <= 4; n++)
 		progress(n, OWNER_LEASE / 2);
 	owner_tick(&owner, OWNER_LEASE);
-	expect(MESSAGE_GRANT, 10, 0);
-	expect(MESSAGE_NONE, 0, 0);
+	expect_message(MESSAGE_GRANT, 10, 0);
+	expect_message(MESSAGE_NONE, 0, 0);
 }
 END_TEST
 
-START_TEST(repeats_are_harmless)
+START_TEST(duplicate_messages_are_idempotent)
 {
-	fill();
+	fill_slots();
 	reserve(10, 0);
-	expect(MESSAGE_WAIT, 10, 0);
+	expect_message(MESSAGE_WAIT, 10, 0);
 	reserve(10, 0);
-	expect(MESSAGE_WAIT, 10, 0);
+	expect_message(MESSAGE_WAIT, 10, 0);
 	release(10);
 	release(10);
 	release(1);
 	release(1);
 	reserve(11, 0);
-	expect(MESSAGE_GRANT, 11, 0);
+	expect_message(MESSAGE_GRANT, 11, 0);
 	reserve(11, 0);
-	expect(MESSAGE_GRANT, 11, 0);
+	expect_message(MESSAGE_GRANT, 11, 0);
 	reserve_of(11, 2, 0, ACCOUNT_LARGE, 60 * PIMENTO_SEC, 0, 0);
-	expect(MESSAGE_GRANT, 11, 0);
+	expect_message(MESSAGE_GRANT, 11, 0);
 	reserve(11, 0);
-	expect(MESSAGE_NONE, 0, 0);
+	expect_message(MESSAGE_NONE, 0, 0);
 	reserve(12, 0);
-	expect(MESSAGE_WAIT, 12, 0);
+	expect_message(MESSAGE_WAIT, 12, 0);
 }
 END_TEST
 
 /* The host list changed and another host owns the endpoint from now on. */
-START_TEST(drop_sends_what_waits_elsewhere)
+START_TEST(removed_endpoint_refuses_queued_requests)
 {
-	fill();
+	fill_slots();
 	reserve(10, 0);
-	expect(MESSAGE_WAIT, 10, 0);
-	owner_drop(&owner, 0, engine.id);
-	expect(MESSAGE_REFUSE, 10, PIMENTO_ESTALE);
+	expect_message(MESSAGE_WAIT, 10, 0);
+	owner_remove_endpoint(&owner, 0, engine.id);
+	expect_message(MESSAGE_REFUSE, 10, PIMENTO_ESTALE);
 	reserve(11, 0);
-	expect(MESSAGE_REFUSE, 11, PIMENTO_ESTALE);
+	expect_message(MESSAGE_REFUSE, 11, PIMENTO_ESTALE);
 }
 END_TEST
 
-START_TEST(new_owner_counts_what_it_hears_of)
+START_TEST(new_owner_counts_reported_dispatches)
 {
 	for (uint64_t n = 1; n <= 4; n++)
 		progress(n, 0);
 	reserve(10, 0);
-	expect(MESSAGE_WAIT, 10, 0);
+	expect_message(MESSAGE_WAIT, 10, 0);
 }
 END_TEST
 
-START_TEST(leaving_takes_nothing_new)
+START_TEST(leaving_endpoint_refuses_requests)
 {
-	fill();
+	fill_slots();
 	reserve(10, 0);
-	expect(MESSAGE_WAIT, 10, 0);
-	owner_leaving(&owner, 0, engine.id);
-	expect(MESSAGE_REFUSE, 10, PIMENTO_ELEAVING);
+	expect_message(MESSAGE_WAIT, 10, 0);
+	owner_endpoint_leaving(&owner, 0, engine.id);
+	expect_message(MESSAGE_REFUSE, 10, PIMENTO_ELEAVING);
 	release(1);
 	reserve(11, 0);
-	expect(MESSAGE_REFUSE, 11, PIMENTO_ELEAVING);
+	expect_message(MESSAGE_REFUSE, 11, PIMENTO_ELEAVING);
 }
 END_TEST
 
 /* Both sides of a partition own the endpoint; together they must not flood it. */
-START_TEST(share_of_an_endpoint_under_a_partition)
+START_TEST(partitioned_owner_grants_only_its_share)
 {
-	ck_assert_int_eq(owner_take(&owner, 0, &engine, 2, 0.5), 0);
+	ck_assert_int_eq(owner_add_endpoint(&owner, 0, &engine, 2, 0.5), 0);
 	for (uint64_t n = 1; n <= 3; n++) {
 		reserve(n, 0);
-		expect(n <= 2 ? MESSAGE_GRANT : MESSAGE_WAIT, n, 0);
+		expect_message(n <= 2 ? MESSAGE_GRANT : MESSAGE_WAIT, n, 0);
 	}
 }
 END_TEST
 
-START_TEST(load_of_others_is_left_room_for)
+START_TEST(reported_foreign_load_takes_slots)
 {
 	load_report_t report = { .running = 3 };
 
-	owner_report(&owner, 0, engine.id, &report);
+	owner_load_report(&owner, 0, engine.id, &report);
 	reserve(1, 0);
-	expect(MESSAGE_GRANT, 1, 0);
+	expect_message(MESSAGE_GRANT, 1, 0);
 	reserve(2, 0);
-	expect(MESSAGE_WAIT, 2, 0);
+	expect_message(MESSAGE_WAIT, 2, 0);
 }
 END_TEST
 
-START_TEST(dead_entry_is_forgotten)
+START_TEST(reservations_of_dead_entry_are_dropped)
 {
-	fill();
+	fill_slots();
 	reserve(10, 0);
-	expect(MESSAGE_WAIT, 10, 0);
-	owner_forget(&owner, 0, ENTRY);
+	expect_message(MESSAGE_WAIT, 10, 0);
+	owner_entry_dead(&owner, 0, ENTRY);
 	ck_assert_uint_eq(owner.waiting, 0);
 }
 END_TEST
@@ -411,24 +411,24 @@
 	int failed;
 
 	tcase_add_checked_fixture(tc, setup, teardown);
-	tcase_add_test(tc, tier_goes_before_arrival);
-	tcase_add_test(tc, room_is_kept_for_urgent_requests);
-	tcase_add_test(tc, large_account_does_not_starve_small);
+	tcase_add_test(tc, urgent_tier_is_granted_first);
+	tcase_add_test(tc, slots_are_reserved_for_urgent_tier);
+	tcase_add_test(tc, busy_account_does_not_starve_others);
 	tcase_add_test(tc, earliest_deadline_first_within_an_account);
-	tcase_add_test(tc, full_table_displaces_the_lowest_tier);
-	tcase_add_test(tc, guess_refuses_nothing);
-	tcase_add_test(tc, late_is_refused_at_once);
-	tcase_add_test(tc, waiting_is_refused_when_it_can_no_longer_finish);
-	tcase_add_test(tc, last_visit_sheds_what_is_less_urgent);
-	tcase_add_test(tc, unused_grant_returns_its_slot);
-	tcase_add_test(tc, silent_slot_is_freed_after_its_lease);
-	tcase_add_test(tc, repeats_are_harmless);
-	tcase_add_test(tc, drop_sends_what_waits_elsewhere);
-	tcase_add_test(tc, new_owner_counts_what_it_hears_of);
-	tcase_add_test(tc, leaving_takes_nothing_new);
-	tcase_add_test(tc, share_of_an_endpoint_under_a_partition);
-	tcase_add_test(tc, load_of_others_is_left_room_for);
-	tcase_add_test(tc, dead_entry_is_forgotten);
+	tcase_add_test(tc, full_table_evicts_lowest_tier);
+	tcase_add_test(tc, unmeasured_endpoint_refuses_nothing);
+	tcase_add_test(tc, infeasible_deadline_is_refused_at_once);
+	tcase_add_test(tc, queued_request_is_refused_once_infeasible);
+	tcase_add_test(tc, final_attempt_sheds_lower_tiers);
+	tcase_add_test(tc, expired_grant_frees_its_slot);
+	tcase_add_test(tc, slot_without_progress_is_freed_after_lease);
+	tcase_add_test(tc, duplicate_messages_are_idempotent);
+	tcase_add_test(tc, removed_endpoint_refuses_queued_requests);
+	tcase_add_test(tc, new_owner_counts_reported_dispatches);
+	tcase_add_test(tc, leaving_endpoint_refuses_requests);
+	tcase_add_test(tc, partitioned_owner_grants_only_its_share);
+	tcase_add_test(tc, reported_foreign_load_takes_slots);
+	tcase_add_test(tc, reservations_of_dead_entry_are_dropped);
 	suite_add_tcase(suite, tc);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_plain_slots.c
+++ b/test/test_plain_slots.c
@@ -81,16 +81,16 @@
 
 static void arrive(run_t *run, bool owner, pimento_usec_t now)
 {
-	grants_ask_t ask = { .address = 1,
-			     .ticket = run->count + 1,
-			     .wait = WAIT_MS * MS };
+	grants_request_t ask = { .address = 1,
+				 .ticket = run->count + 1,
+				 .queue_timeout = WAIT_MS * MS };
 	job_t *job = &run->jobs[run->count];
 
 	ck_assert_uint_lt(run->count, REQUESTS_MAX);
 	*job = (job_t){ .arrived = now, .work = draw_work(run) };
 	run->count++;
-	ask.late_in = GOAL_MS * MS - expect(run, owner);
-	ck_assert_int_eq(grants_ask(&run->grants, &ask, now), 0);
+	ask.overdue_in = GOAL_MS * MS - expect(run, owner);
+	ck_assert_int_eq(grants_request(&run->grants, &ask, now), 0);
 }
 
 static void finish(run_t *run, uint32_t ticket, pimento_usec_t now)
@@ -133,7 +133,7 @@
 	const registry_endpoint_t endpoint = { .slots = SLOTS };
 	uint32_t places = owner ? placement_in_flight_limit(&plain, &endpoint)
 				: SLOTS + OWN_QUEUE;
-	grants_ask_t given;
+	grants_request_t given;
 	double share;
 
 	run = (run_t){ .draws = seed };
@@ -144,7 +144,7 @@
 		if (chance(&run) < PER_MS)
 			arrive(&run, owner, now);
 		serve(&run, now);
-		while (grants_next(&run.grants, 0, places, now, &given)) {
+		while (grants_grant_next(&run.grants, 0, places, now, &given)) {
 			run.jobs[given.ticket - 1].sent =
 				now - 2 * LINK_MS * MS;
 			run.at_endpoint[run.held++] = (uint32_t)given.ticket;
--- a/test/test_route.c
+++ b/test/test_route.c
@@ -39,13 +39,13 @@
 	.target = CONFIG_TARGET_MODEL,
 	.target_name = "model",
 	.tier = 1,
-	.patience = 60 * PIMENTO_SEC,
+	.time_left = 60 * PIMENTO_SEC,
 	.prompt_tokens = 1000,
 	.answer_tokens = 100,
 };
 
-static void say(pimento_id_t endpoint, uint32_t running, uint32_t waiting,
-		float prefill, float decode)
+static void set_summary(pimento_id_t endpoint, uint32_t running,
+			uint32_t waiting, float prefill, float decode)
 {
 	message_summary_t s = { .endpoint = endpoint,
 				.epoch = 1,
@@ -56,15 +56,15 @@
 
 	s.waiting[1] = waiting;
 	s.wait_ms[1] = waiting * 1000;
-	route_learn(&route, 0, &s);
+	route_update_summary(&route, 0, &s);
 }
 
 static void setup(void)
 {
 	ck_assert_int_eq(route_init(&route, 1), 0);
 	ck_assert_int_eq(route_configure(&route, 0, &config), 0);
-	say(FAST, 0, 0, 10000, 50);
-	say(SLOW, 0, 0, 5000, 25);
+	set_summary(FAST, 0, 0, 10000, 50);
+	set_summary(SLOW, 0, 0, 5000, 25);
 }
 
 static void teardown(void)
@@ -100,14 +100,14 @@
 	{ "nothing left", 0, 0, true, false, 0, 60000, 0 },
 };
 
-START_TEST(picks)
+START_TEST(route_picks_expected_endpoint)
 {
 	route_query_t q = query;
 
-	say(FAST, cases[_i].running, cases[_i].waiting, 10000, 50);
-	route_leaving(&route, FAST, cases[_i].leaving);
+	set_summary(FAST, cases[_i].running, cases[_i].waiting, 10000, 50);
+	route_set_leaving(&route, FAST, cases[_i].leaving);
 	if (cases[_i].failed)
-		route_failed(&route, 0, FAST);
+		route_endpoint_failed(&route, 0, FAST);
 	q.avoid = &cases[_i].avoid;
 	q.avoid_count = cases[_i].avoid ? 1 : 0;
 	q.prompt_tokens = cases[_i].prompt;
@@ -115,26 +115,26 @@
 }
 END_TEST
 
-START_TEST(cached_prefix_draws)
+START_TEST(cached_prefix_is_preferred)
 {
 	route_query_t q = query;
 
 	q.prefix = 99;
 	q.prompt_tokens = 40000;
 	q.answer_tokens = 1;
-	say(FAST, 0, 0, 8000, 25);
-	say(SLOW, 0, 0, 6000, 25);
+	set_summary(FAST, 0, 0, 8000, 25);
+	set_summary(SLOW, 0, 0, 6000, 25);
 	ck_assert_uint_eq(pick(&q), FAST);
-	route_placed(&route, 0, SLOW, 99, 40000);
+	route_record_prefix(&route, 0, SLOW, 99, 40000);
 	ck_assert_uint_eq(pick(&q), SLOW);
 }
 END_TEST
 
-START_TEST(unknown_endpoint_is_tried)
+START_TEST(unmeasured_endpoint_is_tried)
 {
-	say(FAST, 0, 0, 0, 0);
-	say(FAST, 0, 0, 0, 0);
-	say(SLOW, 4, 0, 5000, 25);
+	set_summary(FAST, 0, 0, 0, 0);
+	set_summary(FAST, 0, 0, 0, 0);
+	set_summary(SLOW, 4, 0, 5000, 25);
 	ck_assert_uint_eq(pick(&query), FAST);
 }
 END_TEST
@@ -143,8 +143,8 @@
 {
 	message_summary_t s = { .endpoint = FAST, .epoch = 9, .leaving = 1 };
 
-	route_learn(&route, 0, &s);
-	say(FAST, 0, 0, 10000, 50);
+	route_update_summary(&route, 0, &s);
+	set_summary(FAST, 0, 0, 10000, 50);
 	ck_assert_uint_eq(pick(&query), SLOW);
 }
 END_TEST
@@ -155,7 +155,7 @@
 	message_refuse_t refuse = { .reason = PIMENTO_ELATE,
 				    .retry_after = PIMENTO_SEC };
 
-	return route_refused(&route, 0, retry, q, query.patience, endpoint,
+	return route_refused(&route, 0, retry, q, query.time_left, endpoint,
 			     &refuse, choice, hops);
 }
 
@@ -163,7 +163,7 @@
  * Every owner says that it would be too late. Each is visited once more, so
  * that nothing less urgent is left waiting when the caller gets its refusal.
  */
-START_TEST(refused_goes_on_then_visits_all_a_last_time)
+START_TEST(refused_request_gets_final_attempt_at_every_owner)
 {
 	route_retry_t retry;
 	route_choice_t choice;
@@ -177,7 +177,7 @@
 		ck_assert_int_eq(refused(&retry, &query, choice.endpoint,
 					 &choice, &hops),
 				 0);
-		ck_assert_uint_eq(hops, OWNER_HOPS_LAST);
+		ck_assert_uint_eq(hops, OWNER_HOPS_FINAL);
 	}
 	ck_assert_int_eq(
 		refused(&retry, &query, choice.endpoint, &choice, &hops),
@@ -186,7 +186,7 @@
 }
 END_TEST
 
-START_TEST(least_urgent_is_given_up_without_a_last_visit)
+START_TEST(lowest_tier_gets_no_final_attempt)
 {
 	route_retry_t retry;
 	route_choice_t choice;
@@ -209,12 +209,13 @@
 	int failed;
 
 	tcase_add_checked_fixture(tc, setup, teardown);
-	tcase_add_loop_test(tc, picks, 0, sizeof(cases) / sizeof(cases[0]));
-	tcase_add_test(tc, cached_prefix_draws);
-	tcase_add_test(tc, unknown_endpoint_is_tried);
+	tcase_add_loop_test(tc, route_picks_expected_endpoint, 0,
+			    sizeof(cases) / sizeof(cases[0]));
+	tcase_add_test(tc, cached_prefix_is_preferred);
+	tcase_add_test(tc, unmeasured_endpoint_is_tried);
 	tcase_add_test(tc, older_epoch_is_ignored);
-	tcase_add_test(tc, refused_goes_on_then_visits_all_a_last_time);
-	tcase_add_test(tc, least_urgent_is_given_up_without_a_last_visit);
+	tcase_add_test(tc, refused_request_gets_final_attempt_at_every_owner);
+	tcase_add_test(tc, lowest_tier_gets_no_final_attempt);
 	suite_add_tcase(suite, tc);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_slots.c
+++ b/test/test_slots.c
@@ -69,10 +69,10 @@
 	packet_t packet = { .kind = PACKET_SLOT_REQUEST };
 
 	packet.as.slot_request =
-		(grants_ask_t){ .endpoint = (uint32_t)endpoint->key,
-				.address = ASKER,
-				.ticket = ticket,
-				.wait = PIMENTO_SEC };
+		(grants_request_t){ .endpoint = (uint32_t)endpoint->key,
+				    .address = ASKER,
+				    .ticket = ticket,
+				    .queue_timeout = PIMENTO_SEC };
 	slots_take(&slots, &packet, now);
 }
 
@@ -207,10 +207,10 @@
 START_TEST(what_nobody_asks_for_is_forgotten)
 {
 	ask(1, NOW);
-	ck_assert(grants_is_owned(&slots.grants, (uint32_t)endpoint->key));
+	ck_assert(grants_has_endpoint(&slots.grants, (uint32_t)endpoint->key));
 	hear_peers(NOW + 4 * PIMENTO_SEC);
 	slots_tick(&slots, NOW + 4 * PIMENTO_SEC);
-	ck_assert(!grants_is_owned(&slots.grants, (uint32_t)endpoint->key));
+	ck_assert(!grants_has_endpoint(&slots.grants, (uint32_t)endpoint->key));
 }
 END_TEST
 
