--- a/bench/load.c
+++ b/bench/load.c
@@ -77,7 +77,7 @@
 	char bearer[KEY_MAX + 16];
 	char deadline[16];
 	char key[KEY_MAX];
-	char id[PIMENTO_REQID_TEXT];
+	char id[PIMENTO_REQID_TEXT_SIZE];
 } load_call_t;
 
 static void add_header(load_call_t *call, const char *name, const char *value)
@@ -290,7 +290,7 @@
 
 	fill_call(&call, request);
 	call.call.port = pick_port(list, number);
-	pimento_reqid_text(
+	pimento_reqid_format(
 		(pimento_reqid_t){ (uint64_t)load->started_us, number },
 		call.id);
 	add_header(&call, "X-Request-Id", call.id);
--- a/bench/slope_gossip.c
+++ b/bench/slope_gossip.c
@@ -22,18 +22,18 @@
 
 #define SIZES (sizeof(sizes) / sizeof(sizes[0]))
 
-static void start_fleet(gossip_t *f, uint32_t count, char *config)
+static void start_fleet(gossip_sim_t *f, uint32_t count, char *config)
 {
-	gossip_init(f, count, 11);
-	gossip_publish(f, CONFIG_SYNC_CONFIG, config);
-	gossip_publish_hosts(f);
+	gossip_sim_init(f, count, 11);
+	gossip_sim_publish(f, CONFIG_SYNC_CONFIG, config);
+	gossip_sim_publish_hosts(f);
 	for (uint32_t i = 0; i < count; i++)
-		gossip_start(f, i);
-	gossip_publish_hosts(f);
-	gossip_run(f, SETTLE + count * SETTLE_HOST);
+		gossip_sim_start_host(f, i);
+	gossip_sim_publish_hosts(f);
+	gossip_sim_run(f, SETTLE + count * SETTLE_HOST);
 }
 
-static void clear_counters(gossip_t *f)
+static void clear_counters(gossip_sim_t *f)
 {
 	for (uint32_t i = 0; i < f->count; i++) {
 		f->hosts[i].sent_bytes = 0;
@@ -44,16 +44,16 @@
 }
 
 /* Mean over the hosts that are up, and the most that any of them sent. */
-static void bytes_sent(const gossip_t *f, double *mean, double *most,
+static void bytes_sent(const gossip_sim_t *f, double *mean, double *most,
 		       double *messages)
 {
-	uint32_t up = gossip_up(f);
+	uint32_t up = gossip_sim_count_up(f);
 
 	*mean = 0;
 	*most = 0;
 	*messages = 0;
 	for (uint32_t i = 0; i < f->count; i++) {
-		const gossip_host_t *h = &f->hosts[i];
+		const gossip_sim_host_t *h = &f->hosts[i];
 
 		if (!h->up)
 			continue;
@@ -64,21 +64,21 @@
 	}
 }
 
-/* As gossip_misjudged() but stops at the first, for it is asked often. */
-static uint32_t disagreement(const gossip_t *f)
+/* As gossip_sim_count_wrong_states() but stops at the first, for it is asked often. */
+static uint32_t disagreement(const gossip_sim_t *f)
 {
 	for (uint32_t i = 0; i < f->count; i++) {
-		const gossip_host_t *h = &f->hosts[i];
+		const gossip_sim_host_t *h = &f->hosts[i];
 		host_state_t own = HOST_DEAD;
 
 		if (h->up)
-			own = member_state(&h->member, h->id);
+			own = member_state(&h->membership, h->id);
 		for (uint32_t j = 0; j < f->count; j++) {
 			host_state_t state;
 
 			if (!f->hosts[j].up)
 				continue;
-			state = member_state(&f->hosts[j].member, h->id);
+			state = member_state(&f->hosts[j].membership, h->id);
 			if (state == HOST_UNKNOWN && !h->up)
 				state = HOST_DEAD;
 			if (state != own)
@@ -88,17 +88,19 @@
 	return 0;
 }
 
-static uint32_t not_in_force(const gossip_t *f)
+static uint32_t not_in_force(const gossip_sim_t *f)
 {
-	return gossip_up(f) - gossip_in_force(f, CONFIG_SYNC_CONFIG);
+	return gossip_sim_count_up(f) -
+	       gossip_sim_count_in_force(f, CONFIG_SYNC_CONFIG);
 }
 
-static pimento_usec_t until(gossip_t *f, uint32_t (*count)(const gossip_t *))
+static pimento_usec_t until(gossip_sim_t *f,
+			    uint32_t (*count)(const gossip_sim_t *))
 {
 	pimento_usec_t start = f->now;
 
 	while (f->now - start < LIMIT && count(f))
-		gossip_run(f, STEP);
+		gossip_sim_run(f, STEP);
 	return f->now - start;
 }
 
@@ -115,11 +117,11 @@
 		double mean;
 		double most;
 		double messages;
-		gossip_t f;
+		gossip_sim_t f;
 
-		start_fleet(&f, n, gossip_config(&f, 20000));
+		start_fleet(&f, n, gossip_sim_make_config(&f, 20000));
 		clear_counters(&f);
-		gossip_run(&f, MEASURE);
+		gossip_sim_run(&f, MEASURE);
 		bytes_sent(&f, &mean, &most, &messages);
 		slope_row("gossip", "quiet, sent per host", n, mean / span,
 			  "bytes/s");
@@ -127,10 +129,10 @@
 			  most / span, "bytes/s");
 		slope_row("gossip", "quiet, sent per host", n, messages / span,
 			  "messages/s");
-		gossip_kill(&f, n / 2);
+		gossip_sim_kill_host(&f, n / 2);
 		slope_row("gossip", "host killed, until all know", n,
 			  seconds(until(&f, disagreement)), "s");
-		gossip_finish(&f);
+		gossip_sim_finish(&f);
 	}
 }
 
@@ -155,8 +157,8 @@
 }
 
 /* Publishes several times; prints when it was in force at the last host. */
-static void changes(gossip_t *f, bool whole, size_t size, uint32_t endpoints,
-		    uint32_t times)
+static void changes(gossip_sim_t *f, bool whole, size_t size,
+		    uint32_t endpoints, uint32_t times)
 {
 	const char *label = whole ? "all lines" : "one line";
 	pimento_usec_t spans[64];
@@ -167,10 +169,10 @@
 
 	clear_counters(f);
 	for (uint32_t i = 0; i < times; i++) {
-		gossip_publish(f, CONFIG_SYNC_CONFIG,
-			       next_text(size, endpoints, i, whole));
+		gossip_sim_publish(f, CONFIG_SYNC_CONFIG,
+				   next_text(size, endpoints, i, whole));
 		spans[i] = until(f, not_in_force);
-		gossip_run(f, PIMENTO_SEC);
+		gossip_sim_run(f, PIMENTO_SEC);
 	}
 	qsort(spans, times, sizeof(spans[0]), by_value);
 	snprintf(what, sizeof(what), "%s, %u hosts, median", label, f->count);
@@ -193,28 +195,28 @@
 
 	for (size_t i = 0; i < 3; i++) {
 		for (size_t j = 0; j < 3; j++) {
-			gossip_t f;
+			gossip_sim_t f;
 			char *text = slope_config(endpoints[j], texts[j], 1);
 
 			start_fleet(&f, hosts[i], text);
 			changes(&f, false, texts[j], endpoints[j],
 				hosts[i] < 400 ? 50 : 20);
 			changes(&f, true, texts[j], endpoints[j], 10);
-			gossip_finish(&f);
+			gossip_sim_finish(&f);
 		}
 	}
 }
 
 /* A host that starts knows nothing, so the whole text travels to it. */
-static void restart(gossip_t *f, size_t size)
+static void restart(gossip_sim_t *f, size_t size)
 {
 	uint64_t before;
 
-	gossip_kill(f, 5);
-	gossip_run(f, 20 * PIMENTO_SEC);
+	gossip_sim_kill_host(f, 5);
+	gossip_sim_run(f, 20 * PIMENTO_SEC);
 	f->platform_down = true;
 	before = f->hosts[5].received_bytes;
-	gossip_start(f, 5);
+	gossip_sim_start_host(f, 5);
 	slope_row("loss", "host replaced, platform down, in force", size,
 		  seconds(until(f, not_in_force)), "s");
 	slope_row("loss", "host replaced, platform down, received", size,
@@ -224,16 +226,16 @@
 	f->platform_down = false;
 }
 
-static uint32_t owners_moved(const gossip_t *f, const pimento_id_t *before,
+static uint32_t owners_moved(const gossip_sim_t *f, const pimento_id_t *before,
 			     pimento_id_t *now)
 {
 	uint32_t moved = 0;
 	uint32_t i = 0;
 
-	while (!f->hosts[i].up || f->hosts[i].side)
+	while (!f->hosts[i].up || f->hosts[i].partition)
 		i++;
 	for (uint32_t e = 0; e < ENDPOINTS; e++) {
-		now[e] = member_owner(&f->hosts[i].member, e + 1);
+		now[e] = member_owner(&f->hosts[i].membership, e + 1);
 		if (before && now[e] != before[e])
 			moved++;
 	}
@@ -241,7 +243,7 @@
 }
 
 /* Spans and bytes until every host that is up holds the same of all. */
-static void aftermath(gossip_t *f, const char *what, uint32_t hit)
+static void aftermath(gossip_sim_t *f, const char *what, uint32_t hit)
 {
 	pimento_usec_t start = f->now;
 	pimento_usec_t span;
@@ -259,32 +261,33 @@
 		  "bytes/s, busiest host");
 }
 
-static uint32_t others_dead(const gossip_t *f)
+static uint32_t others_dead(const gossip_sim_t *f)
 {
 	uint32_t half = f->count / 2;
 	uint32_t wrong = 0;
 
 	for (uint32_t i = 0; i < f->count; i++)
-		if (member_live(&f->hosts[i].member, NULL, 0) != half)
+		if (member_live(&f->hosts[i].membership, NULL, 0) != half)
 			wrong++;
 	return wrong;
 }
 
-static void cut_region(gossip_t *f)
+static void cut_region(gossip_sim_t *f)
 {
 	pimento_id_t owners[ENDPOINTS];
 	pimento_id_t after[ENDPOINTS];
 
 	owners_moved(f, NULL, owners);
 	for (uint32_t i = 0; i < f->count; i++)
-		f->hosts[i].side = f->hosts[i].datacentre >= DATACENTRES / 2;
+		f->hosts[i].partition =
+			f->hosts[i].datacentre >= DATACENTRES / 2;
 	slope_row("loss", "region cut off, until both sides know", f->count,
 		  seconds(until(f, others_dead)), "s");
 	slope_row("loss", "region cut off, endpoints moved", f->count,
 		  owners_moved(f, owners, after), "of 600");
-	gossip_run(f, 180 * PIMENTO_SEC);
+	gossip_sim_run(f, 180 * PIMENTO_SEC);
 	for (uint32_t i = 0; i < f->count; i++)
-		f->hosts[i].side = 0;
+		f->hosts[i].partition = 0;
 	aftermath(f, "region link healed", f->count);
 	slope_row("loss", "region link healed, owners differ", f->count,
 		  owners_moved(f, owners, after), "of 600");
@@ -294,43 +297,43 @@
 {
 	pimento_id_t owners[ENDPOINTS];
 	pimento_id_t after[ENDPOINTS];
-	gossip_t f;
+	gossip_sim_t f;
 
 	start_fleet(&f, 400, slope_config(ENDPOINTS, 200000, 1));
 	restart(&f, 200000);
-	gossip_run(&f, 60 * PIMENTO_SEC);
+	gossip_sim_run(&f, 60 * PIMENTO_SEC);
 	owners_moved(&f, NULL, owners);
-	gossip_kill(&f, 200);
+	gossip_sim_kill_host(&f, 200);
 	aftermath(&f, "one host killed", 1);
 	slope_row("loss", "one host killed, endpoints moved", 1,
 		  owners_moved(&f, owners, after), "of 600");
-	gossip_start(&f, 200);
-	gossip_run(&f, 60 * PIMENTO_SEC);
+	gossip_sim_start_host(&f, 200);
+	gossip_sim_run(&f, 60 * PIMENTO_SEC);
 	for (uint32_t i = 0; i < 10; i++)
-		gossip_kill(&f, 1 + i * 8);
+		gossip_sim_kill_host(&f, 1 + i * 8);
 	aftermath(&f, "rack of hosts killed", 10);
 	slope_row("loss", "rack killed, endpoints moved", 10,
 		  owners_moved(&f, owners, after), "of 600");
 	for (uint32_t i = 0; i < 10; i++)
-		gossip_start(&f, 1 + i * 8);
-	gossip_run(&f, 60 * PIMENTO_SEC);
+		gossip_sim_start_host(&f, 1 + i * 8);
+	gossip_sim_run(&f, 60 * PIMENTO_SEC);
 	for (uint32_t i = 1; i < 400; i += DATACENTRES)
-		gossip_kill(&f, i);
+		gossip_sim_kill_host(&f, i);
 	aftermath(&f, "data centre killed", 50);
 	slope_row("loss", "data centre killed, endpoints moved", 50,
 		  owners_moved(&f, owners, after), "of 600");
 	for (uint32_t i = 1; i < 400; i += DATACENTRES)
-		gossip_start(&f, i);
+		gossip_sim_start_host(&f, i);
 	aftermath(&f, "data centre back", 50);
-	gossip_run(&f, 60 * PIMENTO_SEC);
+	gossip_sim_run(&f, 60 * PIMENTO_SEC);
 	cut_region(&f);
-	gossip_finish(&f);
+	gossip_sim_finish(&f);
 }
 
 void slope_reads(void)
 {
 	for (size_t i = 0; i < SIZES; i++) {
-		pimento_id_t live[GOSSIP_MAX];
+		pimento_id_t live[GOSSIP_SIM_HOSTS_MAX];
 		uint32_t readers = 0;
 		double reads = 0;
 
--- a/bench/slope_request.c
+++ b/bench/slope_request.c
@@ -97,7 +97,7 @@
 {
 	pimento_action_t action;
 
-	while (pimento_host_next(&m->hosts[host], &action)) {
+	while (pimento_host_next_action(&m->hosts[host], &action)) {
 		if (action.kind == PIMENTO_ACTION_SEND)
 			send(m, host, action.peer, action.message);
 		else if (action.kind == PIMENTO_ACTION_DISPATCH)
@@ -169,10 +169,10 @@
 		m->ids[i] = pimento_id(name);
 		pimento_host_init(&m->hosts[i], &options, m->now);
 		m->hosts[i].options.name = "slopes";
-		pimento_host_read(&m->hosts[i], m->now, false, 1, config,
-				  strlen(config));
-		pimento_host_read(&m->hosts[i], m->now, true, 1, hosts,
-				  strlen(hosts));
+		pimento_host_apply_update(&m->hosts[i], m->now, false, 1,
+					  config, strlen(config));
+		pimento_host_apply_update(&m->hosts[i], m->now, true, 1, hosts,
+					  strlen(hosts));
 		drain(m, i);
 	}
 	free(config);
@@ -202,11 +202,11 @@
 
 static void submit(mesh_t *m, uint32_t host, bool keyed)
 {
-	char key[PIMENTO_KEY_TEXT];
+	char key[PIMENTO_KEY_TEXT_SIZE];
 	pimento_request_t r = { .account = pimento_id("a0"),
-				.model = true,
+				.is_model = true,
 				.tier = (uint8_t)(m->nonce % 5),
-				.patience = 60 * PIMENTO_SEC,
+				.client_timeout = 60 * PIMENTO_SEC,
 				.repeatable = !keyed,
 				.prompt_tokens = 500,
 				.answer_tokens = TOKENS,
@@ -217,8 +217,8 @@
 	snprintf(r.target, sizeof(r.target), "m%u", (unsigned)(m->nonce % 4));
 	r.digest = ++m->nonce;
 	if (keyed) {
-		pimento_host_issue(&m->hosts[host], m->now, 1000000, m->nonce,
-				   key);
+		pimento_host_issue_key(&m->hosts[host], m->now, 1000000,
+				       m->nonce, key);
 		r.key = key;
 	}
 	if (pimento_host_submit(&m->hosts[host], m->now, &r, &handle, &id))
--- a/bench/slope_table.c
+++ b/bench/slope_table.c
@@ -309,7 +309,8 @@
 	slope_row("tables", "host, empty, memory", 0, slope_heap() - before,
 		  "bytes");
 	for (uint64_t i = 1; i < 12; i++) {
-		pimento_host_read(host, 1, false, i, text, strlen(text));
+		pimento_host_apply_update(host, 1, false, i, text,
+					  strlen(text));
 		if (i == 1 || i == 11)
 			slope_row("tables",
 				  i == 1 ? "host, one configuration held"
--- a/bench/world.c
+++ b/bench/world.c
@@ -150,7 +150,7 @@
 
 static void count_refusal(world_t *w, int reason)
 {
-	if (reason == PIMENTO_ELATE)
+	if (reason == PIMENTO_EDEADLINE)
 		w->stats.refused_late++;
 	else if (reason == PIMENTO_EBUSY)
 		w->stats.refused_busy++;
--- a/io/control.c
+++ b/io/control.c
@@ -306,7 +306,7 @@
 {
 	pimento_config_t **config = argument;
 
-	*config = pimento_config_hold(pimento_host_config(control->host));
+	*config = pimento_config_ref(pimento_host_config(control->host));
 }
 
 pimento_config_t *control_config(control_t *control)
@@ -319,7 +319,7 @@
 
 static void act_hosts(control_t *control)
 {
-	const hostlist_t *list = pimento_host_list(control->host);
+	const hostlist_t *list = pimento_host_hostlist(control->host);
 
 	for (uint32_t i = 0; i < list->count; i++) {
 		const hostlist_host_t *host = &list->hosts[i];
@@ -345,7 +345,7 @@
 static void act_refused_text(control_t *control)
 {
 	uint64_t revision;
-	const char *line = pimento_host_problems(control->host, &revision);
+	const char *line = pimento_host_update_errors(control->host, &revision);
 
 	log_line(LOG_LEVEL_WARNING, "config",
 		 "revision %llu refused, the last one stays in force",
@@ -429,7 +429,7 @@
 			  action->message);
 		return;
 	case PIMENTO_ACTION_DISPATCH:
-	case PIMENTO_ACTION_FOLLOW:
+	case PIMENTO_ACTION_RESUME:
 	case PIMENTO_ACTION_CANCEL:
 		act_exchange(control, action);
 		return;
@@ -442,13 +442,13 @@
 	case PIMENTO_ACTION_REFUSE:
 		act_refuse(control, action);
 		return;
-	case PIMENTO_ACTION_CONFIG:
+	case PIMENTO_ACTION_CONFIG_CHANGED:
 		act_config(control);
 		return;
-	case PIMENTO_ACTION_HOSTS:
+	case PIMENTO_ACTION_HOSTS_CHANGED:
 		act_hosts(control);
 		return;
-	case PIMENTO_ACTION_REFUSED_TEXT:
+	case PIMENTO_ACTION_UPDATE_REJECTED:
 		act_refused_text(control);
 		return;
 	case PIMENTO_ACTION_NONE:
@@ -461,7 +461,7 @@
 {
 	pimento_action_t action;
 
-	while (pimento_host_next(control->host, &action))
+	while (pimento_host_next_action(control->host, &action))
 		act(control, &action);
 }
 
@@ -505,7 +505,7 @@
 /* Requests that the end of the process would cut. */
 static uint32_t unfinished(const control_t *control)
 {
-	uint32_t busy = pimento_host_busy(control->host);
+	uint32_t busy = pimento_host_active_requests(control->host);
 
 	return busy > control->answering ? busy : control->answering;
 }
@@ -521,7 +521,7 @@
 			now + control->settings->stop_seconds * PIMENTO_SEC;
 		log_line(LOG_LEVEL_INFO, "control",
 			 "leaving, %u requests in progress",
-			 pimento_host_busy(control->host));
+			 pimento_host_active_requests(control->host));
 	}
 	if (now < control->leave_at)
 		return false;
--- a/io/http.c
+++ b/io/http.c
@@ -37,7 +37,7 @@
 	{ PIMENTO_EEXPIRED, 422, "key-expired" },
 	{ PIMENTO_EMISMATCH, 422, "key-mismatch" },
 	{ PIMENTO_EENDPOINT, 502, "endpoint-failed" },
-	{ PIMENTO_ELATE, 503, "too-late" },
+	{ PIMENTO_EDEADLINE, 503, "too-late" },
 	{ PIMENTO_EBUSY, 503, "busy" },
 	{ PIMENTO_EFULL, 503, "full" },
 	{ PIMENTO_ENOQUORUM, 503, "too-few-witnesses" },
@@ -100,9 +100,9 @@
 static void add_identity(struct _u_response *response, const call_t *call,
 			 pimento_verdict_t verdict)
 {
-	char id[PIMENTO_REQID_TEXT];
+	char id[PIMENTO_REQID_TEXT_SIZE];
 
-	pimento_reqid_text(call->id, id);
+	pimento_reqid_format(call->id, id);
 	u_map_put(response->map_header, "Pimento-Request-Id", id);
 	u_map_put(response->map_header, "Pimento-Verdict",
 		  pimento_verdict_name(verdict));
@@ -241,7 +241,7 @@
 static void on_reader_gone(void *data)
 {
 	reader_t *reader = data;
-	pimento_event_t event = { .kind = PIMENTO_EVENT_LEFT };
+	pimento_event_t event = { .kind = PIMENTO_EVENT_CALLER_DISCONNECTED };
 
 	if (!reader->ended) {
 		call_leave(reader->call);
@@ -292,7 +292,7 @@
 	} else {
 		submit(http, in, response);
 	}
-	pimento_config_drop(in->config);
+	pimento_config_unref(in->config);
 	call_drop(in->call);
 	return U_CALLBACK_COMPLETE;
 }
--- a/io/http_intake.c
+++ b/io/http_intake.c
@@ -83,15 +83,16 @@
 	if (number_header(in->http, "Pimento-Attempt", 1000000, &attempt))
 		return intake_fail(in, PIMENTO_EINVAL,
 				   "Pimento-Attempt must be 1 to 1000000");
-	if (key && (!*key || strlen(key) >= PIMENTO_KEY_TEXT ||
+	if (key && (!*key || strlen(key) >= PIMENTO_KEY_TEXT_SIZE ||
 		    (strlen(key) > KEY_MAX && !idem_key_is_issued(key))))
 		return intake_fail(
 			in, PIMENTO_EINVAL,
 			"Idempotency-Key must have 1 to 128 characters");
-	in->request.patience = in->contract->patience;
-	if (deadline &&
-	    (pimento_usec_t)deadline * PIMENTO_MSEC < in->request.patience)
-		in->request.patience = (pimento_usec_t)deadline * PIMENTO_MSEC;
+	in->request.client_timeout = in->contract->patience;
+	if (deadline && (pimento_usec_t)deadline * PIMENTO_MSEC <
+				in->request.client_timeout)
+		in->request.client_timeout =
+			(pimento_usec_t)deadline * PIMENTO_MSEC;
 	in->request.attempt = (uint32_t)attempt;
 	in->request.key = key;
 	if (!key && !in->contract->repeatable)
@@ -137,11 +138,11 @@
 	if (http->binary_body_length)
 		memcpy(call->body, http->binary_body, http->binary_body_length);
 	call->body_size = http->binary_body_length;
-	call->model = in->request.model;
+	call->model = in->request.is_model;
 	memcpy(call->tier, in->config->tiers[in->request.tier].name,
 	       sizeof(call->tier));
 	call->began = sys_now();
-	call->patience = in->request.patience;
+	call->patience = in->request.client_timeout;
 	in->request.digest = XXH3_64bits(call->body, call->body_size);
 	in->request.wall_msec = sys_wall_msec();
 	return PIMENTO_OK;
@@ -223,7 +224,7 @@
 	if (!json_is_string(model))
 		return intake_fail(in, PIMENTO_EINVAL,
 				   "model must be a string");
-	in->request.model = true;
+	in->request.is_model = true;
 	error = find_contract(in, CONFIG_TARGET_MODEL, json_string_value(model),
 			      NULL);
 	if (!error)
--- a/io/http_pages.c
+++ b/io/http_pages.c
@@ -17,7 +17,7 @@
 #define KEYS_PER_CALL 64
 
 typedef struct issue {
-	char text[PIMENTO_KEY_TEXT];
+	char text[PIMENTO_KEY_TEXT_SIZE];
 	int result;
 } issue_t;
 
@@ -25,9 +25,9 @@
 {
 	issue_t *issue = argument;
 
-	issue->result =
-		pimento_host_issue(control->host, sys_now(), sys_wall_msec(),
-				   sys_random(), issue->text);
+	issue->result = pimento_host_issue_key(control->host, sys_now(),
+					       sys_wall_msec(), sys_random(),
+					       issue->text);
 }
 
 static json_t *issue_keys(http_t *http, json_int_t count, int *error)
@@ -69,7 +69,7 @@
 	if (!error)
 		keys = issue_keys(http, count, &error);
 	json_decref(body);
-	pimento_config_drop(config);
+	pimento_config_unref(config);
 	if (error) {
 		json_decref(keys);
 		return http_refuse_early(response, error, NULL);
--- a/io/platform.c
+++ b/io/platform.c
@@ -65,15 +65,15 @@
 
 static uint64_t in_force(const control_t *control, bool hosts)
 {
-	return hosts ? control->host->member.hosts_revision
-		     : control->host->member.revision;
+	return hosts ? control->host->membership.hosts_revision
+		     : control->host->membership.revision;
 }
 
 static void run_plan(control_t *control, void *argument)
 {
 	plan_t *plan = argument;
 
-	plan->watch = pimento_host_reader(control->host, &plan->interval);
+	plan->watch = pimento_host_should_watch(control->host, &plan->interval);
 	plan->in_force = in_force(control, plan->hosts);
 }
 
@@ -103,14 +103,14 @@
 	pimento_usec_t now = sys_now();
 
 	if (reading->text)
-		pimento_host_read(control->host, now, reading->hosts,
-				  reading->revision, reading->text,
-				  reading->length);
+		pimento_host_apply_update(control->host, now, reading->hosts,
+					  reading->revision, reading->text,
+					  reading->length);
 	if (reading->text &&
 	    reading->revision != in_force(control, reading->hosts))
 		return;
 	reading->outcome = READ_GOOD;
-	pimento_host_refreshed(control->host, now, reading->begun);
+	pimento_host_confirm_current(control->host, now, reading->begun);
 }
 
 /*
@@ -264,10 +264,10 @@
 {
 	const report_t *report = argument;
 
-	pimento_host_report(control->host, sys_now(), report->endpoint,
-			    report->running, report->waiting,
-			    report->tokens_left, report->age, report->leaving,
-			    report->incarnation);
+	pimento_host_report_load(control->host, sys_now(), report->endpoint,
+				 report->running, report->waiting,
+				 report->tokens_left, report->age,
+				 report->leaving, report->incarnation);
 }
 
 static uint32_t number(const json_t *body, const char *name)
--- a/io/status.c
+++ b/io/status.c
@@ -24,7 +24,7 @@
 
 	if (control->leaving)
 		*state = "leaving";
-	else if (!pimento_host_fresh(control->host))
+	else if (!pimento_host_is_current(control->host))
 		*state = "not-fresh";
 	else if (!pimento_host_ready(control->host, sys_now()))
 		*state = "not-ready";
@@ -55,13 +55,13 @@
 		if (h->endpoint)
 			continue;
 		json_array_append_new(
-			list,
-			json_pack(
-				"{s:s, s:s, s:s, s:o}", "name", h->name,
-				"datacentre", h->datacentre, "state",
-				host_states[member_state(&host->member, h->id)],
-				"incarnation",
-				hex(member_incarnation(&host->member, h->id))));
+			list, json_pack("{s:s, s:s, s:s, s:o}", "name", h->name,
+					"datacentre", h->datacentre, "state",
+					host_states[member_state(
+						&host->membership, h->id)],
+					"incarnation",
+					hex(member_incarnation(
+						&host->membership, h->id))));
 	}
 	return list;
 }
@@ -116,10 +116,11 @@
 		hex(control->incarnation), "state", state, "config", "revision",
 		(json_int_t)(config ? config->revision : 0), "digest",
 		hex(config ? config->digest : 0), "refused_revision",
-		(json_int_t)host->config_refused, "hosts", "revision",
+		(json_int_t)host->rejected_config_revision, "hosts", "revision",
 		(json_int_t)host->hosts.revision, "members", members(host),
-		"requests", "in_progress", (int)pimento_host_busy(host),
-		"endpoints", endpoints(host), "platform", "calls",
+		"requests", "in_progress",
+		(int)pimento_host_active_requests(host), "endpoints",
+		endpoints(host), "platform", "calls",
 		(json_int_t)control->counters.platform_calls, "failures",
 		(json_int_t)control->counters.platform_failures);
 }
@@ -157,7 +158,7 @@
 		{ "requests_retried_total", "", c->retried },
 		{ "requests_resumed_total", "", c->resumed },
 		{ "requests_replayed_total", "", c->replayed },
-		{ "callers_left_total", "", c->left },
+		{ "callers_left_total", "", c->callers_left },
 		{ "callers_refused_total", "",
 		  control->counters.callers_refused },
 		{ "answers_whole_total", "", control->counters.answers_whole },
@@ -173,12 +174,13 @@
 		{ "platform_failures_total", "",
 		  control->counters.platform_failures },
 		{ "config_switches_total", "", host->config_switches },
-		{ "config_refused_revision", "", host->config_refused },
-		{ "config_revision", "", host->member.revision },
-		{ "hosts_revision", "", host->member.hosts_revision },
-		{ "pauses_total", "", host->member.pauses },
+		{ "config_refused_revision", "",
+		  host->rejected_config_revision },
+		{ "config_revision", "", host->membership.revision },
+		{ "hosts_revision", "", host->membership.hosts_revision },
+		{ "pauses_total", "", host->membership.pauses },
 		{ "keys_witnessed", "", host->witness.count },
-		{ "requests_in_progress", "", host->entries.busy },
+		{ "requests_in_progress", "", host->entries.active },
 		{ "reservations_waiting", "", host->owner.waiting },
 	};
 	size_t used = 0;
--- a/io/traffic.c
+++ b/io/traffic.c
@@ -115,7 +115,7 @@
 		return;
 	exchange->told = now;
 	event.tokens = exchange->call->events;
-	event.last_token = now;
+	event.last_token_at = now;
 	control_event(exchange->control, exchange->call, &event);
 }
 
@@ -212,9 +212,9 @@
 static void set_url(exchange_t *exchange)
 {
 	char url[URL_MAX];
-	char id[PIMENTO_REQID_TEXT];
+	char id[PIMENTO_REQID_TEXT_SIZE];
 
-	pimento_reqid_text(exchange->stream, id);
+	pimento_reqid_format(exchange->stream, id);
 	if (exchange->kind == PIMENTO_ACTION_DISPATCH)
 		snprintf(url, sizeof(url), "http://%s:%u%s", exchange->address,
 			 exchange->port, exchange->call->path);
@@ -242,9 +242,9 @@
 static void set_request(exchange_t *exchange)
 {
 	const call_t *call = exchange->call;
-	char id[PIMENTO_REQID_TEXT];
+	char id[PIMENTO_REQID_TEXT_SIZE];
 
-	pimento_reqid_text(exchange->stream, id);
+	pimento_reqid_format(exchange->stream, id);
 	add_header(exchange, "X-Request-Id", id);
 	add_header(exchange, "Expect", "");
 	if (exchange->kind == PIMENTO_ACTION_CANCEL)
@@ -330,7 +330,7 @@
 
 	event.status = (uint16_t)status;
 	event.tokens = call->events;
-	event.last_token = exchange->last_token;
+	event.last_token_at = exchange->last_token;
 	if (!is_stream(exchange)) {
 		event.tokens = call->model ? used_tokens(call) : 0;
 		event.answer = call->buffer;
@@ -347,12 +347,12 @@
 {
 	if (!exchange->committed)
 		return PIMENTO_EVENT_UNREACHABLE;
-	if (exchange->kind == PIMENTO_ACTION_FOLLOW && status == HTTP_NOT_FOUND)
-		return PIMENTO_EVENT_LOST;
+	if (exchange->kind == PIMENTO_ACTION_RESUME && status == HTTP_NOT_FOUND)
+		return PIMENTO_EVENT_STREAM_UNKNOWN;
 	if (code != CURLE_OK)
-		return PIMENTO_EVENT_BROKEN;
+		return PIMENTO_EVENT_CONNECTION_LOST;
 	if (is_stream(exchange) && !exchange->done_seen)
-		return PIMENTO_EVENT_BROKEN;
+		return PIMENTO_EVENT_CONNECTION_LOST;
 	return PIMENTO_EVENT_DONE;
 }
 
--- a/pimentoshelf.h
+++ b/pimentoshelf.h
@@ -15,7 +15,7 @@
  *	pimento_host_receive()		for each message of a peer
  *	pimento_host_event()		for what became of a dispatch
  *	pimento_host_tick()		when pimento_host_deadline() is due
- *	pimento_host_next()		after each of these, until it returns 0,
+ *	pimento_host_next_action()		after each of these, until it returns 0,
  *					to learn what to do
  *	pimento_host_finish()		once
  */
@@ -62,7 +62,7 @@
 	PIMENTO_ENOTFOUND = -4, /* no such thing */
 	PIMENTO_ESTALE = -5, /* of an older revision, epoch or incarnation */
 	PIMENTO_EPARSE = -6, /* the text or frame is malformed */
-	PIMENTO_ELATE = -7, /* cannot finish before its deadline */
+	PIMENTO_EDEADLINE = -7, /* cannot finish before its deadline */
 	PIMENTO_EBUSY = -8, /* displaced by, or waiting behind, other work */
 	PIMENTO_EUNREACHABLE = -9, /* no endpoint or peer can be reached */
 	PIMENTO_ECLAIMED = -10, /* the key is held by another dispatch */
@@ -110,14 +110,15 @@
 /* Handle into a table: index and generation. Zero is never valid. */
 typedef uint64_t pimento_handle_t;
 
-#define PIMENTO_REQID_TEXT 33
+#define PIMENTO_REQID_TEXT_SIZE 33
 
 /* Writes 32 hexadecimal digits and a NUL into text. */
-void pimento_reqid_text(pimento_reqid_t id, char text[PIMENTO_REQID_TEXT]);
+void pimento_reqid_format(pimento_reqid_t id,
+			  char text[PIMENTO_REQID_TEXT_SIZE]);
 
 bool pimento_reqid_equal(pimento_reqid_t a, pimento_reqid_t b);
 bool pimento_key_equal(pimento_key_t a, pimento_key_t b);
-bool pimento_key_none(pimento_key_t key);
+bool pimento_key_is_none(pimento_key_t key);
 
 /*
  * Seeded generator of the pure library (splitmix64). Not for secrets: the
@@ -142,8 +143,8 @@
 struct message;
 struct hostlist;
 
-struct pimento_config *pimento_config_hold(struct pimento_config *config);
-void pimento_config_drop(struct pimento_config *config);
+struct pimento_config *pimento_config_ref(struct pimento_config *config);
+void pimento_config_unref(struct pimento_config *config);
 
 #define PIMENTO_SECRET_SIZE 32
 
@@ -156,16 +157,17 @@
 	uint32_t requests_max; /* in progress at once, a hard cap */
 	uint32_t waiting_max; /* reservations of all entries held here */
 	uint32_t keys_max; /* idempotency keys witnessed at once */
-	pimento_usec_t skew; /* bound on clock difference; 0: the default */
+	pimento_usec_t
+		clock_skew_max; /* bound on clock difference; 0: the default */
 } pimento_host_options_t;
 
 /* One request of a caller, after its contract was found. */
 typedef struct pimento_request {
 	pimento_id_t account;
-	bool model; /* a model engine's, else a plain service's */
+	bool is_model; /* a model engine's, else a plain service's */
 	char target[PIMENTO_NAME_MAX]; /* the model's or the service's name */
 	uint8_t tier; /* rank, 0 is the most urgent */
-	pimento_usec_t patience; /* span until the caller stops caring */
+	pimento_usec_t client_timeout; /* span until the caller stops caring */
 	bool repeatable; /* false: refused without a key */
 	uint32_t prompt_tokens; /* estimate */
 	uint32_t answer_tokens; /* estimate */
@@ -180,14 +182,14 @@
 	PIMENTO_ACTION_NONE = 0,
 	PIMENTO_ACTION_SEND, /* message to the peer */
 	PIMENTO_ACTION_DISPATCH, /* connect, then pimento_host_commit() */
-	PIMENTO_ACTION_FOLLOW, /* resume the stream where the caller is */
+	PIMENTO_ACTION_RESUME, /* resume the stream where the caller is */
 	PIMENTO_ACTION_REPLAY, /* the answer kept from an earlier call */
 	PIMENTO_ACTION_REFUSE, /* the final answer of a request */
 	PIMENTO_ACTION_CANCEL, /* cancel the stream at the endpoint */
 	PIMENTO_ACTION_END, /* the request is over; its handle is no more */
-	PIMENTO_ACTION_CONFIG, /* another configuration is in force */
-	PIMENTO_ACTION_HOSTS, /* another host list is in force */
-	PIMENTO_ACTION_REFUSED_TEXT, /* see pimento_host_problems() */
+	PIMENTO_ACTION_CONFIG_CHANGED, /* another configuration is in force */
+	PIMENTO_ACTION_HOSTS_CHANGED, /* another host list is in force */
+	PIMENTO_ACTION_UPDATE_REJECTED, /* see pimento_host_update_errors() */
 } pimento_action_kind_t;
 
 typedef struct pimento_action {
@@ -211,15 +213,15 @@
 	PIMENTO_EVENT_UNREACHABLE = 1, /* never connected, nothing was sent */
 	PIMENTO_EVENT_TOKENS, /* tokens of the answer arrived */
 	PIMENTO_EVENT_DONE, /* the whole answer arrived */
-	PIMENTO_EVENT_BROKEN, /* the connection broke after the commit */
-	PIMENTO_EVENT_LOST, /* the endpoint does not know the stream */
-	PIMENTO_EVENT_LEFT, /* the caller left */
+	PIMENTO_EVENT_CONNECTION_LOST, /* the connection broke after the commit */
+	PIMENTO_EVENT_STREAM_UNKNOWN, /* the endpoint does not know the stream */
+	PIMENTO_EVENT_CALLER_DISCONNECTED, /* the caller left */
 } pimento_event_kind_t;
 
 typedef struct pimento_event {
 	pimento_event_kind_t kind;
 	uint32_t tokens; /* of the answer so far */
-	pimento_usec_t last_token; /* when it came; 0: with this event */
+	pimento_usec_t last_token_at; /* when it came; 0: with this event */
 	uint16_t status; /* DONE: HTTP status */
 	const uint8_t *answer; /* DONE: whole answer, if small and kept */
 	size_t answer_size;
@@ -273,21 +275,23 @@
  * configuration). Returns 0; PIMENTO_ESTALE for an older revision;
  * PIMENTO_EPARSE if it was refused, the last accepted staying in force.
  */
-int pimento_host_read(pimento_host_t *host, pimento_usec_t now, bool hosts,
-		      uint64_t revision, const char *text, size_t length);
+int pimento_host_apply_update(pimento_host_t *host, pimento_usec_t now,
+			      bool hosts, uint64_t revision, const char *text,
+			      size_t length);
 
 /*
  * The platform answered a read that was begun at this time, with a text or
  * with "nothing newer". After a pause that confirms what is held.
  */
-void pimento_host_refreshed(pimento_host_t *host, pimento_usec_t now,
-			    pimento_usec_t begun);
+void pimento_host_confirm_current(pimento_host_t *host, pimento_usec_t now,
+				  pimento_usec_t begun);
 
 /*
  * How to read the platform now: true for a blocking watch, false for a plain
  * read every *interval.
  */
-bool pimento_host_reader(const pimento_host_t *host, pimento_usec_t *interval);
+bool pimento_host_should_watch(const pimento_host_t *host,
+			       pimento_usec_t *interval);
 
 /*
  * Fills the first message on a link to a peer that is known by its address
@@ -299,17 +303,17 @@
  * An endpoint's own load report, age old when it was received. The incarnation
  * (0: it names none) tells a new process from the one that was leaving.
  */
-void pimento_host_report(pimento_host_t *host, pimento_usec_t now,
-			 pimento_id_t endpoint, uint32_t running,
-			 uint32_t waiting, uint32_t tokens_left,
-			 pimento_usec_t age, bool leaving,
-			 uint64_t incarnation);
+void pimento_host_report_load(pimento_host_t *host, pimento_usec_t now,
+			      pimento_id_t endpoint, uint32_t running,
+			      uint32_t waiting, uint32_t tokens_left,
+			      pimento_usec_t age, bool leaving,
+			      uint64_t incarnation);
 
 /* This host leaves: no new requests, endpoints handed over. One-way. */
 void pimento_host_leave(pimento_host_t *host, pimento_usec_t now);
 
 /* Requests of callers in progress here. */
-uint32_t pimento_host_busy(const pimento_host_t *host);
+uint32_t pimento_host_active_requests(const pimento_host_t *host);
 
 void pimento_host_tick(pimento_host_t *host, pimento_usec_t now);
 
@@ -317,18 +321,18 @@
 pimento_usec_t pimento_host_deadline(const pimento_host_t *host);
 
 /* Takes the next action; 0 when there is none, else 1. */
-int pimento_host_next(pimento_host_t *host, pimento_action_t *action);
+int pimento_host_next_action(pimento_host_t *host, pimento_action_t *action);
 
 /* The configuration in force, NULL before the first. Not a reference. */
 struct pimento_config *pimento_host_config(const pimento_host_t *host);
-const struct hostlist *pimento_host_list(const pimento_host_t *host);
+const struct hostlist *pimento_host_hostlist(const pimento_host_t *host);
 
 /*
  * The mistakes for which a published text was refused last, a line each, and
  * its revision; NULL if none was. All hosts come to the same result.
  */
-const char *pimento_host_problems(const pimento_host_t *host,
-				  uint64_t *revision);
+const char *pimento_host_update_errors(const pimento_host_t *host,
+				       uint64_t *revision);
 
 /*
  * True when callers should be sent here: a configuration is in force, what is
@@ -338,15 +342,15 @@
 bool pimento_host_ready(const pimento_host_t *host, pimento_usec_t now);
 
 /* False from a pause of this process until what it holds was confirmed. */
-bool pimento_host_fresh(const pimento_host_t *host);
+bool pimento_host_is_current(const pimento_host_t *host);
 
 /*
  * Issues an idempotency key that names its witnesses; nonce is random and
  * wall_msec the wall clock. Returns its length or PIMENTO_ENOQUORUM.
  */
-#define PIMENTO_KEY_TEXT 256
-int pimento_host_issue(pimento_host_t *host, pimento_usec_t now,
-		       int64_t wall_msec, uint64_t nonce,
-		       char text[PIMENTO_KEY_TEXT]);
+#define PIMENTO_KEY_TEXT_SIZE 256
+int pimento_host_issue_key(pimento_host_t *host, pimento_usec_t now,
+			   int64_t wall_msec, uint64_t nonce,
+			   char text[PIMENTO_KEY_TEXT_SIZE]);
 
 #endif
--- a/src/base.c
+++ b/src/base.c
@@ -22,7 +22,7 @@
 	}
 }
 
-static const char *const errors[] = {
+static const char *const error_texts[] = {
 	"success",
 	"invalid argument",
 	"out of memory",
@@ -50,11 +50,11 @@
 
 const char *pimento_strerror(int error)
 {
-	size_t n = sizeof(errors) / sizeof(errors[0]);
+	size_t n = sizeof(error_texts) / sizeof(error_texts[0]);
 
 	if (error > 0 || (size_t)-error >= n)
 		return "unknown error";
-	return errors[-error];
+	return error_texts[-error];
 }
 
 pimento_id_t pimento_id(const char *name)
@@ -64,9 +64,10 @@
 	return id ? id : 1;
 }
 
-void pimento_reqid_text(pimento_reqid_t id, char text[PIMENTO_REQID_TEXT])
+void pimento_reqid_format(pimento_reqid_t id,
+			  char text[PIMENTO_REQID_TEXT_SIZE])
 {
-	snprintf(text, PIMENTO_REQID_TEXT, "%016llx%016llx",
+	snprintf(text, PIMENTO_REQID_TEXT_SIZE, "%016llx%016llx",
 		 (unsigned long long)id.hi, (unsigned long long)id.lo);
 }
 
@@ -80,7 +81,7 @@
 	return a.hi == b.hi && a.lo == b.lo;
 }
 
-bool pimento_key_none(pimento_key_t key)
+bool pimento_key_is_none(pimento_key_t key)
 {
 	return !key.hi && !key.lo;
 }
--- a/src/claim.c
+++ b/src/claim.c
@@ -26,7 +26,7 @@
 	const witness_set_t *set = &options->witnesses;
 
 	memset(claim, 0, sizeof(*claim));
-	if (pimento_key_none(options->key) || !set->count ||
+	if (pimento_key_is_none(options->key) || !set->count ||
 	    set->count > PIMENTO_WITNESSES_MAX || set->quorum > set->count ||
 	    2 * set->quorum <= set->count)
 		return PIMENTO_EINVAL;
--- a/src/entry.c
+++ b/src/entry.c
@@ -4,7 +4,7 @@
  * same number is the low half of the request's id.
  */
 
-#include "entry_steps.h"
+#include "entry_internal.h"
 #include "owner.h"
 
 #include <stdlib.h>
@@ -14,30 +14,30 @@
 #define PROGRESS_PERIOD OWNER_PROGRESS_INTERVAL
 /* A broken stream is resumed this often, with growing delays. */
 #define RESUMES_MAX 40
-#define RESUME_DELAY (50 * PIMENTO_MSEC)
+#define RESUME_DELAY_STEP (50 * PIMENTO_MSEC)
 #define RESUME_DELAY_MAX PIMENTO_SEC
 /* Resuming goes on this long after the caller's patience. */
 #define RESUME_GRACE (5 * PIMENTO_SEC)
 /* Retries: a tenth of the requests, and a few to begin with. */
-#define BUDGET_SHARE 0.1
-#define BUDGET_MAX 10.0
-#define ACTIONS_MIN 64
+#define RETRY_BUDGET_RATIO 0.1
+#define RETRY_BUDGET_MAX 10.0
+#define ACTIONS_CAPACITY_MIN 64
 #define CLAIM_STEP_TIMEOUT (400 * PIMENTO_MSEC)
 
 int entry_init(entry_table_t *table, const entry_options_t *options,
-	       route_t *route, member_t *member, outbox_t *out)
+	       route_t *route, member_t *membership, outbox_t *out)
 {
 	memset(table, 0, sizeof(*table));
 	table->options = *options;
 	table->route = route;
-	table->member = member;
+	table->membership = membership;
 	table->out = out;
-	table->wake = PIMENTO_NEVER;
-	table->budget = BUDGET_MAX;
-	table->action_capacity = ACTIONS_MIN;
+	table->next_wake = PIMENTO_NEVER;
+	table->retry_budget = RETRY_BUDGET_MAX;
+	table->action_capacity = ACTIONS_CAPACITY_MIN;
 	table->entries = calloc(options->requests_max, sizeof(entry_t));
 	table->free_list = calloc(options->requests_max, sizeof(uint32_t));
-	table->actions = calloc(ACTIONS_MIN, sizeof(pimento_action_t));
+	table->actions = calloc(ACTIONS_CAPACITY_MIN, sizeof(pimento_action_t));
 	if (!table->entries || !table->free_list || !table->actions) {
 		entry_finish(table);
 		return PIMENTO_ENOMEM;
@@ -49,9 +49,9 @@
 {
 	pimento_action_t action;
 
-	while (table->actions && entry_next(table, &action))
+	while (table->actions && entry_next_action(table, &action))
 		free(action.answer);
-	for (uint32_t i = 0; table->entries && i < table->high; i++)
+	for (uint32_t i = 0; table->entries && i < table->high_water; i++)
 		free(table->entries[i].claim);
 	free(table->entries);
 	free(table->free_list);
@@ -76,7 +76,7 @@
 	return PIMENTO_OK;
 }
 
-void entry_act(entry_table_t *table, const pimento_action_t *action)
+void entry_queue_action(entry_table_t *table, const pimento_action_t *action)
 {
 	uint32_t at;
 
@@ -90,7 +90,7 @@
 	table->action_count++;
 }
 
-bool entry_next(entry_table_t *table, pimento_action_t *action)
+bool entry_next_action(entry_table_t *table, pimento_action_t *action)
 {
 	if (!table->action_count)
 		return false;
@@ -111,7 +111,7 @@
 	uint32_t index = (uint32_t)handle;
 	entry_t *entry;
 
-	if (index >= table->high)
+	if (index >= table->high_water)
 		return NULL;
 	entry = &table->entries[index];
 	if (entry->state == ENTRY_FREE || entry->state == ENTRY_CLOSING ||
@@ -120,19 +120,19 @@
 	return entry;
 }
 
-void entry_wake(entry_table_t *table, entry_t *entry, pimento_usec_t at)
+void entry_schedule(entry_table_t *table, entry_t *entry, pimento_usec_t at)
 {
 	if (entry->state < ENTRY_CLAIMING && entry->claim &&
 	    entry->claim->state == CLAIM_QUERYING &&
 	    claim_deadline(entry->claim) < at)
 		at = claim_deadline(entry->claim);
-	entry->wake = at;
-	if (at < table->wake)
-		table->wake = at;
+	entry->wake_at = at;
+	if (at < table->next_wake)
+		table->next_wake = at;
 }
 
 /* True while the claim still has something to tell to a witness. */
-static bool claim_unsettled(const claim_t *claim)
+static bool claim_is_notifying(const claim_t *claim)
 {
 	return claim && (claim->state == CLAIM_SEALING ||
 			 claim->state == CLAIM_WITHDRAWING ||
@@ -147,9 +147,9 @@
  */
 void entry_free(entry_table_t *table, entry_t *entry)
 {
-	if (claim_unsettled(entry->claim)) {
+	if (claim_is_notifying(entry->claim)) {
 		entry->state = ENTRY_CLOSING;
-		entry_wake(table, entry, claim_deadline(entry->claim));
+		entry_schedule(table, entry, claim_deadline(entry->claim));
 		return;
 	}
 	free(entry->claim);
@@ -157,17 +157,17 @@
 	entry->state = ENTRY_FREE;
 	table->free_list[table->free_count++] =
 		(uint32_t)(entry - table->entries);
-	table->busy--;
+	table->active--;
 }
 
 /* Ends a request that needs no further answer from here. */
-static void end(entry_table_t *table, entry_t *entry)
+static void finish_request(entry_table_t *table, entry_t *entry)
 {
 	pimento_action_t action = { .kind = PIMENTO_ACTION_END };
 
 	action.request = entry_handle(table, entry);
 	entry_free(table, entry);
-	entry_act(table, &action);
+	entry_queue_action(table, &action);
 }
 
 void entry_refuse(entry_table_t *table, entry_t *entry,
@@ -186,37 +186,37 @@
 	}
 	table->counters.refused[verdict]++;
 	entry_free(table, entry);
-	entry_act(table, &action);
+	entry_queue_action(table, &action);
 }
 
-void entry_follow(entry_table_t *table, entry_t *entry)
+void entry_resume(entry_table_t *table, entry_t *entry)
 {
-	pimento_action_t action = { .kind = PIMENTO_ACTION_FOLLOW };
+	pimento_action_t action = { .kind = PIMENTO_ACTION_RESUME };
 
-	entry->state = ENTRY_FOLLOWING;
+	entry->state = ENTRY_RESUMING;
 	action.request = entry_handle(table, entry);
-	action.endpoint = entry->follow_endpoint;
-	action.stream = entry->follow_stream;
-	entry_wake(table, entry, entry->deadline + RESUME_GRACE);
+	action.endpoint = entry->resume_endpoint;
+	action.stream = entry->resume_stream;
+	entry_schedule(table, entry, entry->deadline + RESUME_GRACE);
 	table->counters.resumed++;
-	entry_act(table, &action);
+	entry_queue_action(table, &action);
 }
 
-static entry_t *allocate(entry_table_t *table)
+static entry_t *allocate_entry(entry_table_t *table)
 {
 	uint32_t generation;
 	entry_t *entry;
 
 	if (table->free_count)
 		entry = &table->entries[table->free_list[--table->free_count]];
-	else if (table->high < table->options.requests_max)
-		entry = &table->entries[table->high++];
+	else if (table->high_water < table->options.requests_max)
+		entry = &table->entries[table->high_water++];
 	else
 		return NULL;
 	generation = entry->generation + 1;
 	memset(entry, 0, sizeof(*entry));
 	entry->generation = generation;
-	table->busy++;
+	table->active++;
 	return entry;
 }
 
@@ -249,7 +249,7 @@
 		 const witness_set_t *witnesses, pimento_usec_t age,
 		 pimento_handle_t *handle, pimento_reqid_t *id)
 {
-	entry_t *entry = allocate(table);
+	entry_t *entry = allocate_entry(table);
 	int error = PIMENTO_OK;
 
 	if (!entry)
@@ -258,8 +258,8 @@
 	entry->request = *request;
 	entry->request.key = NULL;
 	entry->key = key;
-	entry->arrived = now;
-	entry->deadline = now + request->patience;
+	entry->arrived_at = now;
+	entry->deadline = now + request->client_timeout;
 	entry->id.hi = table->options.incarnation;
 	entry->id.lo = entry_handle(table, entry);
 	if (witnesses)
@@ -271,9 +271,9 @@
 	*handle = entry_handle(table, entry);
 	*id = entry->id;
 	table->counters.accepted++;
-	table->budget += BUDGET_SHARE;
-	if (table->budget > BUDGET_MAX)
-		table->budget = BUDGET_MAX;
+	table->retry_budget += RETRY_BUDGET_RATIO;
+	if (table->retry_budget > RETRY_BUDGET_MAX)
+		table->retry_budget = RETRY_BUDGET_MAX;
 	entry_reserve(table, now, entry);
 	return PIMENTO_OK;
 }
@@ -290,24 +290,24 @@
 	 * would send a request that nobody waits for, into a slot that has
 	 * been given away. The connection is closed without a byte instead.
 	 */
-	if (now >= entry->deadline || now >= entry->grant_ends) {
+	if (now >= entry->deadline || now >= entry->grant_expires_at) {
 		entry_release(table, entry, RELEASE_UNUSED);
-		entry_give_up(table, now, entry, PIMENTO_ELATE, 0);
-		return PIMENTO_ELATE;
+		entry_abort(table, now, entry, PIMENTO_EDEADLINE, 0);
+		return PIMENTO_EDEADLINE;
 	}
 	entry->state = ENTRY_DISPATCHED;
-	entry->sent = now;
-	entry->told = now;
+	entry->sent_at = now;
+	entry->progress_sent_at = now;
 	table->counters.dispatched++;
 	route_record_prefix(table->route, now, entry->endpoint,
 			    entry->request.prefix,
 			    entry->request.prompt_tokens);
-	entry_tell_progress(table, now, entry);
-	entry_wake(table, entry, now + PROGRESS_PERIOD);
+	entry_send_progress(table, now, entry);
+	entry_schedule(table, entry, now + PROGRESS_PERIOD);
 	return PIMENTO_OK;
 }
 
-void entry_tell_progress(entry_table_t *table, pimento_usec_t now,
+void entry_send_progress(entry_table_t *table, pimento_usec_t now,
 			 entry_t *entry)
 {
 	message_t message = { .kind = MESSAGE_PROGRESS };
@@ -320,26 +320,28 @@
 	progress->endpoint = entry->endpoint;
 	progress->epoch = entry->epoch;
 	progress->answer_tokens = entry->tokens;
-	if (entry->first_token) {
+	if (entry->first_token_at) {
 		progress->time_to_first_token =
-			entry->first_token - entry->sent;
-		progress->decode_time = entry->last_token - entry->first_token;
+			entry->first_token_at - entry->sent_at;
+		progress->decode_time =
+			entry->last_token_at - entry->first_token_at;
 	}
-	entry->told = now;
+	entry->progress_sent_at = now;
 	outbox_put(table->out, entry->owner, &message);
 }
 
 static void on_tokens(entry_table_t *table, pimento_usec_t now, entry_t *entry,
 		      const pimento_event_t *event)
 {
-	bool first = !entry->first_token;
+	bool first = !entry->first_token_at;
 
 	if (first)
-		entry->first_token = now;
-	entry->last_token = event->last_token ? event->last_token : now;
+		entry->first_token_at = now;
+	entry->last_token_at =
+		event->last_token_at ? event->last_token_at : now;
 	entry->tokens = event->tokens;
 	if (first)
-		entry_tell_progress(table, now, entry);
+		entry_send_progress(table, now, entry);
 }
 
 /* Nothing left this process: the request may go elsewhere, within budget. */
@@ -348,46 +350,46 @@
 {
 	route_endpoint_failed(table->route, now, entry->endpoint);
 	entry_release(table, entry, RELEASE_UNUSED);
-	if (table->budget < 1) {
-		entry_give_up(table, now, entry, PIMENTO_EUNREACHABLE, 0);
+	if (table->retry_budget < 1) {
+		entry_abort(table, now, entry, PIMENTO_EUNREACHABLE, 0);
 		return;
 	}
-	table->budget -= 1;
+	table->retry_budget -= 1;
 	table->counters.retried++;
-	entry_unreached(table, now, entry);
+	entry_reroute(table, now, entry);
 }
 
-static void observe(entry_table_t *table, pimento_usec_t now,
-		    const entry_t *entry)
+static void record_latency(entry_table_t *table, pimento_usec_t now,
+			   const entry_t *entry)
 {
-	if (!entry->first_token || !entry->sent)
+	if (!entry->first_token_at || !entry->sent_at)
 		return;
 	route_record_answer(table->route, now, entry->endpoint,
 			    entry->request.prompt_tokens, entry->tokens,
-			    entry->first_token - entry->sent,
-			    entry->last_token - entry->first_token);
+			    entry->first_token_at - entry->sent_at,
+			    entry->last_token_at - entry->first_token_at);
 }
 
 /*
  * An answer that came as one piece shows no first token. A service's span is
  * all there is to know of it; an engine's is taken as the making of tokens.
  */
-static void note_whole(pimento_usec_t now, entry_t *entry,
-		       const pimento_event_t *event)
+static void record_unstreamed_answer(pimento_usec_t now, entry_t *entry,
+				     const pimento_event_t *event)
 {
-	if (entry->first_token || !entry->sent)
+	if (entry->first_token_at || !entry->sent_at)
 		return;
 	entry->tokens = event->tokens;
-	if (!entry->request.model)
-		entry->first_token = now;
+	if (!entry->request.is_model)
+		entry->first_token_at = now;
 	else
-		entry->whole = now - entry->sent;
-	entry->last_token = now;
+		entry->unstreamed_span = now - entry->sent_at;
+	entry->last_token_at = now;
 }
 
 /* The witnesses keep how it ended, so that a repeat gets the same answer. */
-static void tell_outcome(entry_table_t *table, pimento_usec_t now,
-			 entry_t *entry, const pimento_event_t *event)
+static void report_outcome(entry_table_t *table, pimento_usec_t now,
+			   entry_t *entry, const pimento_event_t *event)
 {
 	message_dispatch_t place = { 0 };
 
@@ -409,21 +411,21 @@
 		    const pimento_event_t *event)
 {
 	if (entry->state == ENTRY_DISPATCHED) {
-		if (entry->first_token && event->tokens > entry->tokens)
+		if (entry->first_token_at && event->tokens > entry->tokens)
 			on_tokens(table, now, entry, event);
-		note_whole(now, entry, event);
-		observe(table, now, entry);
+		record_unstreamed_answer(now, entry, event);
+		record_latency(table, now, entry);
 	}
 	entry->tokens = event->tokens;
 	entry_release(table, entry, RELEASE_DONE);
-	tell_outcome(table, now, entry, event);
+	report_outcome(table, now, entry, event);
 	table->counters.done++;
-	end(table, entry);
+	finish_request(table, entry);
 }
 
 static pimento_usec_t resume_delay(const entry_t *entry)
 {
-	pimento_usec_t delay = RESUME_DELAY * entry->resumes;
+	pimento_usec_t delay = RESUME_DELAY_STEP * entry->resumes;
 
 	return delay < RESUME_DELAY_MAX ? delay : RESUME_DELAY_MAX;
 }
@@ -433,9 +435,10 @@
  * stream can be resumed; a plain service cannot be asked, so the verdict is
  * "may have run" and the caller is told so at once.
  */
-static void on_broken(entry_table_t *table, pimento_usec_t now, entry_t *entry)
+static void on_connection_lost(entry_table_t *table, pimento_usec_t now,
+			       entry_t *entry)
 {
-	if (entry->left || !entry->request.model ||
+	if (entry->caller_gone || !entry->request.is_model ||
 	    entry->resumes >= RESUMES_MAX ||
 	    now >= entry->deadline + RESUME_GRACE) {
 		entry_release(table, entry, RELEASE_FAILED);
@@ -444,13 +447,13 @@
 		return;
 	}
 	if (entry->state == ENTRY_DISPATCHED) {
-		entry->follow_endpoint = entry->endpoint;
-		entry->follow_stream = entry->id;
+		entry->resume_endpoint = entry->endpoint;
+		entry->resume_stream = entry->id;
 	}
 	entry->resumes++;
-	entry->state = ENTRY_FOLLOWING;
-	entry->asked = now;
-	entry_wake(table, entry, now + resume_delay(entry));
+	entry->state = ENTRY_RESUMING;
+	entry->requested_at = now;
+	entry_schedule(table, entry, now + resume_delay(entry));
 }
 
 /*
@@ -458,18 +461,19 @@
  * was lost there. For another's, the claimant may be just about to dispatch:
  * the witnesses are asked again until the caller stops caring.
  */
-static void on_lost(entry_table_t *table, pimento_usec_t now, entry_t *entry)
+static void on_stream_unknown(entry_table_t *table, pimento_usec_t now,
+			      entry_t *entry)
 {
-	bool own = pimento_reqid_equal(entry->follow_stream, entry->id);
+	bool own = pimento_reqid_equal(entry->resume_stream, entry->id);
 
-	if (own || !entry->claim || entry->left) {
+	if (own || !entry->claim || entry->caller_gone) {
 		entry_release(table, entry, RELEASE_FAILED);
 		entry_refuse(table, entry, PIMENTO_MAY_HAVE_RUN,
 			     PIMENTO_EENDPOINT, 0);
 		return;
 	}
-	entry->state = ENTRY_ASKING;
-	entry_wake(table, entry, now + RESUME_DELAY);
+	entry->state = ENTRY_QUERYING_OUTCOME;
+	entry_schedule(table, entry, now + RESUME_DELAY_STEP);
 }
 
 /*
@@ -477,27 +481,28 @@
  * unkeyed stream is cancelled, for nobody can ever ask for it; a keyed one
  * goes on, because a repeat will come for the answer.
  */
-static void on_left(entry_table_t *table, pimento_usec_t now, entry_t *entry)
+static void on_caller_disconnected(entry_table_t *table, pimento_usec_t now,
+				   entry_t *entry)
 {
 	pimento_action_t action = { .kind = PIMENTO_ACTION_CANCEL };
 
-	table->counters.left++;
+	table->counters.callers_left++;
 	if (entry->claim && entry->state == ENTRY_DISPATCHED) {
-		entry->left = true;
+		entry->caller_gone = true;
 		return;
 	}
 	if (entry->state == ENTRY_DISPATCHED) {
 		action.request = entry_handle(table, entry);
 		action.endpoint = entry->endpoint;
 		action.stream = entry->id;
-		entry_act(table, &action);
+		entry_queue_action(table, &action);
 		entry_release(table, entry, RELEASE_CANCELLED);
 	} else {
 		entry_release(table, entry, RELEASE_UNUSED);
-		if (entry->claim && entry->state != ENTRY_FOLLOWING)
+		if (entry->claim && entry->state != ENTRY_RESUMING)
 			claim_seal(entry->claim, now, table->out);
 	}
-	end(table, entry);
+	finish_request(table, entry);
 }
 
 void entry_event(entry_table_t *table, pimento_usec_t now,
@@ -509,13 +514,13 @@
 	if (!entry)
 		return;
 	sent = entry->state == ENTRY_DISPATCHED ||
-	       entry->state == ENTRY_FOLLOWING;
+	       entry->state == ENTRY_RESUMING;
 	switch (event->kind) {
 	case PIMENTO_EVENT_UNREACHABLE:
 		if (entry->state == ENTRY_CONNECTING)
 			on_unreachable(table, now, entry);
-		else if (entry->state == ENTRY_FOLLOWING)
-			on_broken(table, now, entry);
+		else if (entry->state == ENTRY_RESUMING)
+			on_connection_lost(table, now, entry);
 		return;
 	case PIMENTO_EVENT_TOKENS:
 		if (sent)
@@ -525,38 +530,38 @@
 		if (sent)
 			on_done(table, now, entry, event);
 		return;
-	case PIMENTO_EVENT_BROKEN:
+	case PIMENTO_EVENT_CONNECTION_LOST:
 		if (sent)
-			on_broken(table, now, entry);
+			on_connection_lost(table, now, entry);
 		return;
-	case PIMENTO_EVENT_LOST:
+	case PIMENTO_EVENT_STREAM_UNKNOWN:
 		if (sent)
-			on_lost(table, now, entry);
+			on_stream_unknown(table, now, entry);
 		return;
-	case PIMENTO_EVENT_LEFT:
-		on_left(table, now, entry);
+	case PIMENTO_EVENT_CALLER_DISCONNECTED:
+		on_caller_disconnected(table, now, entry);
 		return;
 	default:
 		return;
 	}
 }
 
-static void tick_following(entry_table_t *table, pimento_usec_t now,
-			   entry_t *entry)
+static void tick_resuming(entry_table_t *table, pimento_usec_t now,
+			  entry_t *entry)
 {
-	if (now >= entry->deadline + RESUME_GRACE && entry->asked) {
+	if (now >= entry->deadline + RESUME_GRACE && entry->requested_at) {
 		entry_release(table, entry, RELEASE_FAILED);
 		entry_refuse(table, entry, PIMENTO_MAY_HAVE_RUN,
 			     PIMENTO_EENDPOINT, 0);
 		return;
 	}
-	if (entry->asked) {
-		entry->asked = 0;
-		entry_follow(table, entry);
+	if (entry->requested_at) {
+		entry->requested_at = 0;
+		entry_resume(table, entry);
 		return;
 	}
-	entry_tell_progress(table, now, entry);
-	entry_wake(table, entry, now + PROGRESS_PERIOD);
+	entry_send_progress(table, now, entry);
+	entry_schedule(table, entry, now + PROGRESS_PERIOD);
 }
 
 /* The reservation and the claim's query go on side by side. */
@@ -571,7 +576,7 @@
 	if (now >= entry->reserve_due)
 		entry_reserve_tick(table, now, entry);
 	else
-		entry_wake(table, entry, entry->reserve_due);
+		entry_schedule(table, entry, entry->reserve_due);
 }
 
 static void tick_entry(entry_table_t *table, pimento_usec_t now, entry_t *entry)
@@ -582,27 +587,27 @@
 		tick_reserving(table, now, entry);
 		return;
 	case ENTRY_CLAIMING:
-	case ENTRY_ASKING:
+	case ENTRY_QUERYING_OUTCOME:
 	case ENTRY_SEALING:
 		entry_claim_tick(table, now, entry);
 		return;
 	case ENTRY_CONNECTING:
 		/* The commit decides; it will find the deadline passed. */
-		entry_wake(table, entry, now + PROGRESS_PERIOD);
+		entry_schedule(table, entry, now + PROGRESS_PERIOD);
 		return;
 	case ENTRY_DISPATCHED:
-		entry_tell_progress(table, now, entry);
-		entry_wake(table, entry, now + PROGRESS_PERIOD);
+		entry_send_progress(table, now, entry);
+		entry_schedule(table, entry, now + PROGRESS_PERIOD);
 		return;
-	case ENTRY_FOLLOWING:
-		tick_following(table, now, entry);
+	case ENTRY_RESUMING:
+		tick_resuming(table, now, entry);
 		return;
 	case ENTRY_CLOSING:
 		(void)claim_tick(entry->claim, now, table->out);
 		entry_free(table, entry);
 		return;
 	case ENTRY_FREE:
-	case ENTRY_STATES:
+	case ENTRY_STATE_COUNT:
 	default:
 		return;
 	}
@@ -610,13 +615,14 @@
 
 void entry_tick(entry_table_t *table, pimento_usec_t now)
 {
-	table->wake = PIMENTO_NEVER;
-	for (uint32_t i = 0; i < table->high; i++) {
+	table->next_wake = PIMENTO_NEVER;
+	for (uint32_t i = 0; i < table->high_water; i++) {
 		entry_t *entry = &table->entries[i];
 
-		if (entry->state != ENTRY_FREE && entry->wake <= now)
+		if (entry->state != ENTRY_FREE && entry->wake_at <= now)
 			tick_entry(table, now, entry);
-		if (entry->state != ENTRY_FREE && entry->wake < table->wake)
-			table->wake = entry->wake;
+		if (entry->state != ENTRY_FREE &&
+		    entry->wake_at < table->next_wake)
+			table->next_wake = entry->wake_at;
 	}
 }
--- a/src/entry.h
+++ b/src/entry.h
@@ -25,11 +25,11 @@
 	ENTRY_CLAIMING,
 	ENTRY_CONNECTING,
 	ENTRY_DISPATCHED,
-	ENTRY_FOLLOWING,
-	ENTRY_ASKING, /* another dispatch's outcome, at the witnesses */
+	ENTRY_RESUMING,
+	ENTRY_QUERYING_OUTCOME, /* another dispatch's outcome, at the witnesses */
 	ENTRY_SEALING,
 	ENTRY_CLOSING, /* answered; the witnesses are still being told */
-	ENTRY_STATES
+	ENTRY_STATE_COUNT
 } entry_state_t;
 
 typedef struct entry {
@@ -37,9 +37,9 @@
 	uint32_t generation;
 	pimento_reqid_t id;
 	pimento_request_t request; /* its key pointer is not kept */
-	pimento_usec_t arrived;
+	pimento_usec_t arrived_at;
 	pimento_usec_t deadline;
-	pimento_usec_t wake;
+	pimento_usec_t wake_at;
 	pimento_usec_t reserve_due; /* reservation: when to look again */
 	/* reservation */
 	uint32_t round;
@@ -47,29 +47,32 @@
 	pimento_id_t owner; /* 0: no place or slot is held */
 	uint8_t hops;
 	uint64_t epoch;
-	pimento_usec_t asked; /* when the owner was last asked */
-	pimento_usec_t heard; /* when it last answered; 0 never */
-	pimento_usec_t grant_ends; /* 0: no grant is held */
+	pimento_usec_t requested_at; /* when the owner was last asked */
+	pimento_usec_t last_reply_at; /* when it last answered; 0 never */
+	pimento_usec_t grant_expires_at; /* 0: no grant is held */
 	route_retry_t retry; /* what owners said no so far */
-	uint32_t moves; /* times that the owner had changed */
-	pimento_usec_t unreached; /* since when no endpoint was; 0 never */
-	uint32_t repeats; /* of one unanswered reservation */
+	uint32_t owner_changes; /* times that the owner had changed */
+	pimento_usec_t
+		unreachable_since; /* since when no endpoint was; 0 never */
+	uint32_t resends; /* of one unanswered reservation */
 	pimento_usec_t retry_after;
 	/* dispatch */
-	pimento_usec_t sent;
-	pimento_usec_t first_token;
-	pimento_usec_t last_token;
-	pimento_usec_t whole; /* span of an answer in one piece; 0 none */
-	pimento_usec_t told; /* when the owner was last told of progress */
+	pimento_usec_t sent_at;
+	pimento_usec_t first_token_at;
+	pimento_usec_t last_token_at;
+	pimento_usec_t
+		unstreamed_span; /* span of an answer in one piece; 0 none */
+	pimento_usec_t
+		progress_sent_at; /* when the owner was last told of progress */
 	uint32_t tokens;
 	uint32_t resumes;
-	bool left; /* the caller left */
+	bool caller_gone; /* the caller left */
 	/* key */
 	claim_t *claim; /* NULL without a key */
 	pimento_key_t key;
-	int give_up; /* error that SEALING ends in */
-	pimento_id_t follow_endpoint;
-	pimento_reqid_t follow_stream;
+	int seal_error; /* error that SEALING ends in */
+	pimento_id_t resume_endpoint;
+	pimento_reqid_t resume_stream;
 } entry_t;
 
 typedef struct entry_options {
@@ -87,23 +90,23 @@
 	uint64_t retried;
 	uint64_t resumed;
 	uint64_t replayed;
-	uint64_t left;
+	uint64_t callers_left;
 } entry_counters_t;
 
 typedef struct entry_table {
 	entry_options_t options;
 	route_t *route;
-	member_t *member;
+	member_t *membership;
 	outbox_t *out;
 	entry_t *entries;
 	uint32_t *free_list;
 	uint32_t free_count;
-	uint32_t busy;
-	uint32_t high; /* entries beyond were never used */
+	uint32_t active;
+	uint32_t high_water; /* entries beyond were never used */
 	uint64_t next_id;
 	uint64_t next_sequence;
-	double budget; /* retries that may still be spent */
-	pimento_usec_t wake;
+	double retry_budget; /* retries that may still be spent */
+	pimento_usec_t next_wake;
 	pimento_action_t *actions; /* ring */
 	uint32_t action_head;
 	uint32_t action_count;
@@ -111,9 +114,9 @@
 	entry_counters_t counters;
 } entry_table_t;
 
-/* route, member and out are borrowed. Returns 0 or PIMENTO_ENOMEM. */
+/* route, membership and out are borrowed. Returns 0 or PIMENTO_ENOMEM. */
 int entry_init(entry_table_t *table, const entry_options_t *options,
-	       route_t *route, member_t *member, outbox_t *out);
+	       route_t *route, member_t *membership, outbox_t *out);
 void entry_finish(entry_table_t *table);
 
 /*
@@ -140,6 +143,6 @@
 void entry_tick(entry_table_t *table, pimento_usec_t now);
 
 /* Takes the next action; false when there is none. */
-bool entry_next(entry_table_t *table, pimento_action_t *action);
+bool entry_next_action(entry_table_t *table, pimento_action_t *action);
 
 #endif
--- a/src/entry_claim.c
+++ b/src/entry_claim.c
@@ -4,28 +4,28 @@
  * answer of an earlier dispatch instead of a second one.
  */
 
-#include "entry_steps.h"
+#include "entry_internal.h"
 
 #include <stdlib.h>
 #include <string.h>
 
 /* How often the outcome of another's dispatch is asked for. */
-#define ASK_AGAIN (200 * PIMENTO_MSEC)
-#define RETRY_DEFAULT PIMENTO_SEC
+#define OUTCOME_QUERY_PERIOD (200 * PIMENTO_MSEC)
+#define RETRY_AFTER_DEFAULT PIMENTO_SEC
 
-void entry_give_up(entry_table_t *table, pimento_usec_t now, entry_t *entry,
-		   int error, pimento_usec_t retry_after)
+void entry_abort(entry_table_t *table, pimento_usec_t now, entry_t *entry,
+		 int error, pimento_usec_t retry_after)
 {
 	if (!entry->claim) {
 		entry_refuse(table, entry, PIMENTO_NOT_RUN, error,
-			     retry_after ? retry_after : RETRY_DEFAULT);
+			     retry_after ? retry_after : RETRY_AFTER_DEFAULT);
 		return;
 	}
 	entry->state = ENTRY_SEALING;
-	entry->give_up = error;
-	entry->retry_after = retry_after ? retry_after : RETRY_DEFAULT;
+	entry->seal_error = error;
+	entry->retry_after = retry_after ? retry_after : RETRY_AFTER_DEFAULT;
 	claim_seal(entry->claim, now, table->out);
-	entry_wake(table, entry, claim_deadline(entry->claim));
+	entry_schedule(table, entry, claim_deadline(entry->claim));
 }
 
 static void dispatch(entry_table_t *table, entry_t *entry)
@@ -36,11 +36,12 @@
 	action.request = entry_handle(table, entry);
 	action.endpoint = entry->endpoint;
 	action.stream = entry->id;
-	entry_wake(table, entry, entry->deadline);
-	entry_act(table, &action);
+	entry_schedule(table, entry, entry->deadline);
+	entry_queue_action(table, &action);
 }
 
-static void take_claim(entry_table_t *table, pimento_usec_t now, entry_t *entry)
+static void request_claim(entry_table_t *table, pimento_usec_t now,
+			  entry_t *entry)
 {
 	message_dispatch_t place = { 0 };
 
@@ -49,10 +50,10 @@
 	place.digest = entry->request.digest;
 	entry->state = ENTRY_CLAIMING;
 	claim_take(entry->claim, now, &place, table->out);
-	entry_wake(table, entry, claim_deadline(entry->claim));
+	entry_schedule(table, entry, claim_deadline(entry->claim));
 }
 
-void entry_granted(entry_table_t *table, pimento_usec_t now, entry_t *entry)
+void entry_on_grant(entry_table_t *table, pimento_usec_t now, entry_t *entry)
 {
 	if (!entry->claim) {
 		dispatch(table, entry);
@@ -65,10 +66,10 @@
 	 */
 	if (entry->claim->state == CLAIM_AVAILABLE ||
 	    entry->claim->state == CLAIM_TAKEN)
-		take_claim(table, now, entry);
+		request_claim(table, now, entry);
 }
 
-static void replay(entry_table_t *table, entry_t *entry)
+static void replay_answer(entry_table_t *table, entry_t *entry)
 {
 	const message_dispatch_t *held = &entry->claim->held;
 	pimento_action_t action = { .kind = PIMENTO_ACTION_REPLAY };
@@ -78,14 +79,14 @@
 	action.answer = malloc(held->answer_size);
 	if (!action.answer) {
 		entry_refuse(table, entry, PIMENTO_RAN, PIMENTO_ENOMEM,
-			     RETRY_DEFAULT);
+			     RETRY_AFTER_DEFAULT);
 		return;
 	}
 	memcpy(action.answer, held->answer, held->answer_size);
 	action.answer_size = held->answer_size;
 	table->counters.replayed++;
 	entry_free(table, entry);
-	entry_act(table, &action);
+	entry_queue_action(table, &action);
 }
 
 /*
@@ -93,78 +94,80 @@
  * dispatch, but that cannot be known here, so nothing is ever dispatched
  * again: the caller gets that dispatch's answer, or "may have run".
  */
-static void held_by_other(entry_table_t *table, pimento_usec_t now,
+static void on_claim_held(entry_table_t *table, pimento_usec_t now,
 			  entry_t *entry)
 {
 	const message_dispatch_t *held = &entry->claim->held;
 
 	entry_release(table, entry, RELEASE_UNUSED);
 	if (held->done && held->answer_size) {
-		replay(table, entry);
+		replay_answer(table, entry);
 		return;
 	}
 	if (entry->state == ENTRY_SEALING) {
-		entry_refuse(table, entry, PIMENTO_MAY_HAVE_RUN, entry->give_up,
-			     RETRY_DEFAULT);
+		entry_refuse(table, entry, PIMENTO_MAY_HAVE_RUN,
+			     entry->seal_error, RETRY_AFTER_DEFAULT);
 		return;
 	}
-	if (entry->request.model) {
-		entry->follow_endpoint = held->endpoint;
-		entry->follow_stream = held->request;
-		entry_follow(table, entry);
+	if (entry->request.is_model) {
+		entry->resume_endpoint = held->endpoint;
+		entry->resume_stream = held->request;
+		entry_resume(table, entry);
 		return;
 	}
 	if (held->done) {
 		entry_refuse(table, entry, PIMENTO_RAN, PIMENTO_ECLAIMED, 0);
 		return;
 	}
-	entry->state = ENTRY_ASKING;
-	entry_wake(table, entry, now + ASK_AGAIN);
+	entry->state = ENTRY_QUERYING_OUTCOME;
+	entry_schedule(table, entry, now + OUTCOME_QUERY_PERIOD);
 }
 
-static void claim_free(entry_table_t *table, pimento_usec_t now, entry_t *entry)
+static void on_claim_free(entry_table_t *table, pimento_usec_t now,
+			  entry_t *entry)
 {
-	if (entry->state == ENTRY_ASKING) {
+	if (entry->state == ENTRY_QUERYING_OUTCOME) {
 		entry_reserve(table, now, entry);
 		return;
 	}
-	if (entry->grant_ends)
-		take_claim(table, now, entry);
+	if (entry->grant_expires_at)
+		request_claim(table, now, entry);
 }
 
-static void claim_won(entry_table_t *table, pimento_usec_t now, entry_t *entry)
+static void on_claim_won(entry_table_t *table, pimento_usec_t now,
+			 entry_t *entry)
 {
-	if (now < entry->grant_ends && now < entry->deadline) {
+	if (now < entry->grant_expires_at && now < entry->deadline) {
 		dispatch(table, entry);
 		return;
 	}
 	entry_release(table, entry, RELEASE_UNUSED);
-	entry_give_up(table, now, entry, PIMENTO_ELATE, 0);
+	entry_abort(table, now, entry, PIMENTO_EDEADLINE, 0);
 }
 
-void entry_claim_event(entry_table_t *table, pimento_usec_t now, entry_t *entry,
-		       claim_event_t event)
+void entry_on_claim_event(entry_table_t *table, pimento_usec_t now,
+			  entry_t *entry, claim_event_t event)
 {
-	int error = entry->give_up;
+	int error = entry->seal_error;
 
 	switch (event) {
 	case CLAIM_NO_EVENT:
 		return;
 	case CLAIM_FREE:
-		claim_free(table, now, entry);
+		on_claim_free(table, now, entry);
 		return;
 	case CLAIM_WON:
-		claim_won(table, now, entry);
+		on_claim_won(table, now, entry);
 		return;
 	case CLAIM_HELD:
-		held_by_other(table, now, entry);
+		on_claim_held(table, now, entry);
 		return;
 	case CLAIM_NOT_RUN:
 		entry_release(table, entry, RELEASE_UNUSED);
 		entry_refuse(table, entry, PIMENTO_NOT_RUN,
 			     error ? error : PIMENTO_ESEALED,
 			     entry->retry_after ? entry->retry_after
-						: RETRY_DEFAULT);
+						: RETRY_AFTER_DEFAULT);
 		return;
 	case CLAIM_MISMATCH:
 		entry_release(table, entry, RELEASE_UNUSED);
@@ -184,42 +187,44 @@
 	default:
 		entry_release(table, entry, RELEASE_UNUSED);
 		entry_refuse(table, entry, PIMENTO_MAY_HAVE_RUN,
-			     error ? error : PIMENTO_ENOQUORUM, RETRY_DEFAULT);
+			     error ? error : PIMENTO_ENOQUORUM,
+			     RETRY_AFTER_DEFAULT);
 		return;
 	}
 }
 
 /* Asks the witnesses once more how another's dispatch ended. */
-static void ask_again(entry_table_t *table, pimento_usec_t now, entry_t *entry)
+static void requery_outcome(entry_table_t *table, pimento_usec_t now,
+			    entry_t *entry)
 {
 	witness_set_t witnesses = entry->claim->options.witnesses;
 	pimento_usec_t age = entry->claim->options.key_age;
 
 	if (now >= entry->deadline) {
-		entry_give_up(table, now, entry, PIMENTO_ECLAIMED, 0);
+		entry_abort(table, now, entry, PIMENTO_ECLAIMED, 0);
 		return;
 	}
 	if (age != CLAIM_AGE_UNKNOWN)
-		age += now - entry->arrived;
+		age += now - entry->arrived_at;
 	/* The attempt stays: "not run" may be said of it by somebody else. */
 	entry->request.attempt = entry->claim->attempt;
 	entry_start_claim(table, now, entry, &witnesses, age);
-	entry_wake(table, entry, claim_deadline(entry->claim));
+	entry_schedule(table, entry, claim_deadline(entry->claim));
 }
 
 void entry_claim_tick(entry_table_t *table, pimento_usec_t now, entry_t *entry)
 {
 	claim_event_t event;
 
-	if (entry->state == ENTRY_ASKING &&
+	if (entry->state == ENTRY_QUERYING_OUTCOME &&
 	    entry->claim->state != CLAIM_QUERYING) {
-		ask_again(table, now, entry);
+		requery_outcome(table, now, entry);
 		return;
 	}
 	event = claim_tick(entry->claim, now, table->out);
 	if (event) {
-		entry_claim_event(table, now, entry, event);
+		entry_on_claim_event(table, now, entry, event);
 		return;
 	}
-	entry_wake(table, entry, claim_deadline(entry->claim));
+	entry_schedule(table, entry, claim_deadline(entry->claim));
 }
--- a/src/entry_reserve.c
+++ b/src/entry_reserve.c
@@ -4,28 +4,29 @@
  * request out, so each step may be undone and "not run" stays known.
  */
 
-#include "entry_steps.h"
+#include "entry_internal.h"
 
 #include <string.h>
 
 /* An owner answers within a round trip; this is many of them. */
-#define ASK_TIMEOUT (150 * PIMENTO_MSEC)
-#define ASK_REPEATS 2
+#define RESERVE_TIMEOUT (150 * PIMENTO_MSEC)
+#define RESERVE_RESENDS_MAX 2
 /* How often a waiting reservation is renewed, and when silence means loss. */
 #define RENEW_PERIOD PIMENTO_SEC
 #define RENEW_TIMEOUT (3 * PIMENTO_SEC)
 /* A wrong owner means that a change of hosts is still spreading. */
-#define STALE_DELAY (40 * PIMENTO_MSEC)
-/* Between two questions when every owner is silent. */
-#define SILENCE_DELAY (150 * PIMENTO_MSEC)
-#define UNREACHED_SPAN (3 * PIMENTO_SEC)
-#define MOVES_MAX 50
+#define STALE_OWNER_RETRY_DELAY (40 * PIMENTO_MSEC)
+/* Between two questions when every owner is since_last_reply. */
+#define UNREACHABLE_RETRY_DELAY (150 * PIMENTO_MSEC)
+#define UNREACHABLE_WAIT_MAX (3 * PIMENTO_SEC)
+#define OWNER_CHANGES_MAX 50
 
 /* A query of the claim may be due earlier; both are kept. */
-static void look_again(entry_table_t *table, entry_t *entry, pimento_usec_t at)
+static void schedule_reserve(entry_table_t *table, entry_t *entry,
+			     pimento_usec_t at)
 {
 	entry->reserve_due = at < entry->deadline ? at : entry->deadline;
-	entry_wake(table, entry, entry->reserve_due);
+	entry_schedule(table, entry, entry->reserve_due);
 }
 
 static void send_reserve(entry_table_t *table, pimento_usec_t now,
@@ -44,7 +45,7 @@
 	reserve->prompt_tokens = entry->request.prompt_tokens;
 	reserve->answer_tokens = entry->request.answer_tokens;
 	reserve->prefix_hash = entry->request.prefix;
-	entry->asked = now;
+	entry->requested_at = now;
 	outbox_put(table->out, entry->owner, &message);
 }
 
@@ -55,22 +56,22 @@
 	entry->round++;
 	entry->endpoint = endpoint;
 	entry->hops = hops;
-	entry->owner = member_owner(table->member, endpoint);
+	entry->owner = member_owner(table->membership, endpoint);
 	if (!entry->owner)
 		entry->owner = table->options.self;
-	entry->heard = 0;
-	entry->grant_ends = 0;
-	entry->repeats = 0;
+	entry->last_reply_at = 0;
+	entry->grant_expires_at = 0;
+	entry->resends = 0;
 	send_reserve(table, now, entry);
-	look_again(table, entry, now + ASK_TIMEOUT);
+	schedule_reserve(table, entry, now + RESERVE_TIMEOUT);
 }
 
-static void fill_query(const entry_t *entry, pimento_usec_t now,
-		       route_query_t *query)
+static void fill_route_query(const entry_t *entry, pimento_usec_t now,
+			     route_query_t *query)
 {
 	memset(query, 0, sizeof(*query));
-	query->target = entry->request.model ? CONFIG_TARGET_MODEL
-					     : CONFIG_TARGET_SERVICE;
+	query->target = entry->request.is_model ? CONFIG_TARGET_MODEL
+						: CONFIG_TARGET_SERVICE;
 	query->target_name = entry->request.target;
 	query->tier = entry->request.tier;
 	query->time_left = entry->deadline - now;
@@ -85,16 +86,16 @@
  * No endpoint can be reached just now. A restart of one takes about this long,
  * and an urgent request is worth waiting for it; after that the caller is told.
  */
-static bool wait_unreached(entry_table_t *table, pimento_usec_t now,
-			   entry_t *entry)
+static bool wait_for_reachable(entry_table_t *table, pimento_usec_t now,
+			       entry_t *entry)
 {
-	if (!entry->unreached)
-		entry->unreached = now;
-	if (now - entry->unreached > UNREACHED_SPAN)
+	if (!entry->unreachable_since)
+		entry->unreachable_since = now;
+	if (now - entry->unreachable_since > UNREACHABLE_WAIT_MAX)
 		return false;
 	entry->state = ENTRY_RESERVING;
 	entry->owner = 0;
-	look_again(table, entry, now + SILENCE_DELAY);
+	schedule_reserve(table, entry, now + UNREACHABLE_RETRY_DELAY);
 	return true;
 }
 
@@ -102,9 +103,9 @@
 {
 	route_query_t query;
 	route_choice_t choice;
-	int error = PIMENTO_ELATE;
+	int error = PIMENTO_EDEADLINE;
 
-	fill_query(entry, now, &query);
+	fill_route_query(entry, now, &query);
 	if (now < entry->deadline)
 		error = route_pick(table->route, now, &query, &choice);
 	if (!error) {
@@ -113,11 +114,11 @@
 		return;
 	}
 	if (error == PIMENTO_EUNREACHABLE && !entry->retry.refused_count &&
-	    wait_unreached(table, now, entry))
+	    wait_for_reachable(table, now, entry))
 		return;
 	if (entry->retry.reason)
 		error = entry->retry.reason;
-	entry_give_up(table, now, entry, error, entry->retry.retry_after);
+	entry_abort(table, now, entry, error, entry->retry.retry_after);
 }
 
 /* The endpoint's owner said no: route.c knows who is left to be asked. */
@@ -127,16 +128,15 @@
 	route_query_t query;
 	route_choice_t choice;
 	uint8_t hops;
-	int error = PIMENTO_ELATE;
+	int error = PIMENTO_EDEADLINE;
 
-	fill_query(entry, now, &query);
+	fill_route_query(entry, now, &query);
 	if (now < entry->deadline)
 		error = route_refused(table->route, now, &entry->retry, &query,
-				      entry->request.patience, entry->endpoint,
-				      refuse, &choice, &hops);
+				      entry->request.client_timeout,
+				      entry->endpoint, refuse, &choice, &hops);
 	if (error)
-		entry_give_up(table, now, entry, error,
-			      entry->retry.retry_after);
+		entry_abort(table, now, entry, error, entry->retry.retry_after);
 	else
 		ask(table, now, entry, choice.endpoint, hops);
 }
@@ -147,13 +147,13 @@
  * asked again, for by then the hosts have found it another owner. An urgent
  * charge is not refused because one of our hosts died.
  */
-void entry_unreached(entry_table_t *table, pimento_usec_t now, entry_t *entry)
+void entry_reroute(entry_table_t *table, pimento_usec_t now, entry_t *entry)
 {
 	pimento_id_t avoid[ROUTE_ATTEMPTS_MAX + 1];
 	route_query_t query;
 	route_choice_t choice;
 
-	fill_query(entry, now, &query);
+	fill_route_query(entry, now, &query);
 	memcpy(avoid, query.avoid, query.avoid_count * sizeof(avoid[0]));
 	avoid[query.avoid_count++] = entry->endpoint;
 	query.avoid = avoid;
@@ -165,7 +165,7 @@
 	}
 	entry->state = ENTRY_RESERVING;
 	entry->owner = 0;
-	look_again(table, entry, now + SILENCE_DELAY);
+	schedule_reserve(table, entry, now + UNREACHABLE_RETRY_DELAY);
 }
 
 void entry_release(entry_table_t *table, entry_t *entry,
@@ -183,22 +183,24 @@
 	release->outcome = (uint8_t)outcome;
 	release->prompt_tokens = entry->request.prompt_tokens;
 	release->answer_tokens = entry->tokens;
-	if (entry->first_token) {
-		release->time_to_first_token = entry->first_token - entry->sent;
-		release->decode_time = entry->last_token - entry->first_token;
+	if (entry->first_token_at) {
+		release->time_to_first_token =
+			entry->first_token_at - entry->sent_at;
+		release->decode_time =
+			entry->last_token_at - entry->first_token_at;
 	} else {
-		release->decode_time = entry->whole;
+		release->decode_time = entry->unstreamed_span;
 	}
 	outbox_put(table->out, entry->owner, &message);
 	entry->owner = 0;
-	entry->grant_ends = 0;
+	entry->grant_expires_at = 0;
 }
 
 /* A grant waits here for the query of its claim; it may outlive the grant. */
 static void hold_grant(entry_table_t *table, pimento_usec_t now, entry_t *entry)
 {
-	if (now < entry->grant_ends) {
-		look_again(table, entry, entry->grant_ends);
+	if (now < entry->grant_expires_at) {
+		schedule_reserve(table, entry, entry->grant_expires_at);
 		return;
 	}
 	entry_release(table, entry, RELEASE_UNUSED);
@@ -208,16 +210,17 @@
 void entry_reserve_tick(entry_table_t *table, pimento_usec_t now,
 			entry_t *entry)
 {
-	pimento_usec_t silent =
-		now - (entry->heard ? entry->heard : entry->asked);
+	pimento_usec_t since_last_reply =
+		now - (entry->last_reply_at ? entry->last_reply_at
+					    : entry->requested_at);
 
 	if (now >= entry->deadline) {
 		entry_release(table, entry, RELEASE_UNUSED);
-		entry_give_up(table, now, entry, PIMENTO_ELATE,
-			      entry->retry.retry_after);
+		entry_abort(table, now, entry, PIMENTO_EDEADLINE,
+			    entry->retry.retry_after);
 		return;
 	}
-	if (entry->grant_ends) {
+	if (entry->grant_expires_at) {
 		hold_grant(table, now, entry);
 		return;
 	}
@@ -225,29 +228,30 @@
 		entry_reserve(table, now, entry);
 		return;
 	}
-	if (entry->state == ENTRY_WAITING && silent < RENEW_TIMEOUT) {
+	if (entry->state == ENTRY_WAITING && since_last_reply < RENEW_TIMEOUT) {
 		send_reserve(table, now, entry);
-		look_again(table, entry, now + RENEW_PERIOD);
+		schedule_reserve(table, entry, now + RENEW_PERIOD);
 		return;
 	}
-	if (entry->state == ENTRY_RESERVING && entry->repeats < ASK_REPEATS) {
-		entry->repeats++;
+	if (entry->state == ENTRY_RESERVING &&
+	    entry->resends < RESERVE_RESENDS_MAX) {
+		entry->resends++;
 		send_reserve(table, now, entry);
-		look_again(table, entry, now + ASK_TIMEOUT);
+		schedule_reserve(table, entry, now + RESERVE_TIMEOUT);
 		return;
 	}
 	/*
-	 * The owner is silent: dead, cut off or paused. It has not dispatched
+	 * The owner is since_last_reply: dead, cut off or paused. It has not dispatched
 	 * anything, so the request goes elsewhere without doubt; a grant that
 	 * still comes is of an old round and is given back.
 	 */
 	entry_release(table, entry, RELEASE_UNUSED);
-	entry_unreached(table, now, entry);
+	entry_reroute(table, now, entry);
 }
 
 /* Gives back a grant that nobody waits for any more. */
-static void return_grant(entry_table_t *table, pimento_id_t from,
-			 const message_grant_t *grant)
+static void release_stale_grant(entry_table_t *table, pimento_id_t from,
+				const message_grant_t *grant)
 {
 	message_t message = { .kind = MESSAGE_RELEASE };
 
@@ -260,8 +264,8 @@
 }
 
 /* The entry that waits for this owner's answer of this round, else NULL. */
-static entry_t *waiting_for(entry_table_t *table, pimento_id_t from,
-			    pimento_reqid_t id, uint32_t round)
+static entry_t *find_waiting_entry(entry_table_t *table, pimento_id_t from,
+				   pimento_reqid_t id, uint32_t round)
 {
 	entry_t *entry = entry_find(table, id.lo);
 
@@ -274,63 +278,66 @@
 	return entry;
 }
 
-static void take_grant(entry_table_t *table, pimento_usec_t now,
-		       pimento_id_t from, const message_grant_t *grant)
+static void handle_grant(entry_table_t *table, pimento_usec_t now,
+			 pimento_id_t from, const message_grant_t *grant)
 {
-	entry_t *entry = waiting_for(table, from, grant->request, grant->round);
+	entry_t *entry =
+		find_waiting_entry(table, from, grant->request, grant->round);
 	const entry_t *any = entry_find(table, grant->request.lo);
 
-	if (entry && !entry->grant_ends) {
-		entry->heard = now;
+	if (entry && !entry->grant_expires_at) {
+		entry->last_reply_at = now;
 		entry->epoch = grant->epoch;
-		entry->grant_ends = now + grant->lifetime;
-		entry_granted(table, now, entry);
+		entry->grant_expires_at = now + grant->lifetime;
+		entry_on_grant(table, now, entry);
 		return;
 	}
 	/* A grant said twice is held already; only a stale one goes back. */
 	if (any && any->round == grant->round && any->owner == from &&
 	    grant->request.hi == table->options.incarnation)
 		return;
-	return_grant(table, from, grant);
+	release_stale_grant(table, from, grant);
 }
 
-static void take_wait(entry_table_t *table, pimento_usec_t now,
-		      pimento_id_t from, const message_wait_t *wait)
+static void handle_wait(entry_table_t *table, pimento_usec_t now,
+			pimento_id_t from, const message_wait_t *wait)
 {
-	entry_t *entry = waiting_for(table, from, wait->request, wait->round);
+	entry_t *entry =
+		find_waiting_entry(table, from, wait->request, wait->round);
 
-	if (!entry || entry->grant_ends)
+	if (!entry || entry->grant_expires_at)
 		return;
 	entry->state = ENTRY_WAITING;
-	entry->heard = now;
-	entry->repeats = 0;
-	look_again(table, entry, now + RENEW_PERIOD);
+	entry->last_reply_at = now;
+	entry->resends = 0;
+	schedule_reserve(table, entry, now + RENEW_PERIOD);
 }
 
-static void take_refuse(entry_table_t *table, pimento_usec_t now,
-			pimento_id_t from, const message_refuse_t *refuse)
+static void handle_refuse(entry_table_t *table, pimento_usec_t now,
+			  pimento_id_t from, const message_refuse_t *refuse)
 {
 	entry_t *entry =
-		waiting_for(table, from, refuse->request, refuse->round);
+		find_waiting_entry(table, from, refuse->request, refuse->round);
 
 	if (!entry)
 		return;
 	entry->owner = 0;
-	entry->grant_ends = 0;
-	if (refuse->reason == PIMENTO_ESTALE && entry->moves < MOVES_MAX) {
-		entry->moves++;
+	entry->grant_expires_at = 0;
+	if (refuse->reason == PIMENTO_ESTALE &&
+	    entry->owner_changes < OWNER_CHANGES_MAX) {
+		entry->owner_changes++;
 		entry->state = ENTRY_RESERVING;
-		look_again(table, entry, now + STALE_DELAY);
+		schedule_reserve(table, entry, now + STALE_OWNER_RETRY_DELAY);
 		return;
 	}
 	refused(table, now, entry, refuse);
 }
 
 /* The witness's answer goes to the entry that asked; sequences are unique. */
-static void take_witness(entry_table_t *table, pimento_usec_t now,
-			 pimento_id_t from, const message_witness_t *witness)
+static void handle_witness(entry_table_t *table, pimento_usec_t now,
+			   pimento_id_t from, const message_witness_t *witness)
 {
-	for (uint32_t i = 0; i < table->high; i++) {
+	for (uint32_t i = 0; i < table->high_water; i++) {
 		entry_t *entry = &table->entries[i];
 		claim_event_t event;
 
@@ -342,7 +349,7 @@
 		if (entry->state == ENTRY_CLOSING)
 			entry_free(table, entry);
 		else if (event)
-			entry_claim_event(table, now, entry, event);
+			entry_on_claim_event(table, now, entry, event);
 	}
 }
 
@@ -353,20 +360,20 @@
 	case MESSAGE_GRANT:
 		route_update_summary(table->route, now,
 				     &message->u.grant.summary);
-		take_grant(table, now, from, &message->u.grant);
+		handle_grant(table, now, from, &message->u.grant);
 		return PIMENTO_OK;
 	case MESSAGE_WAIT:
 		route_update_summary(table->route, now,
 				     &message->u.wait.summary);
-		take_wait(table, now, from, &message->u.wait);
+		handle_wait(table, now, from, &message->u.wait);
 		return PIMENTO_OK;
 	case MESSAGE_REFUSE:
 		route_update_summary(table->route, now,
 				     &message->u.refuse.summary);
-		take_refuse(table, now, from, &message->u.refuse);
+		handle_refuse(table, now, from, &message->u.refuse);
 		return PIMENTO_OK;
 	case MESSAGE_WITNESS:
-		take_witness(table, now, from, &message->u.witness);
+		handle_witness(table, now, from, &message->u.witness);
 		return PIMENTO_OK;
 	default:
 		return PIMENTO_EINVAL;
@@ -380,14 +387,14 @@
 	if (!entry->owner || entry->owner == owner)
 		return;
 	entry->owner = owner;
-	entry_tell_progress(table, now, entry);
+	entry_send_progress(table, now, entry);
 }
 
 /* Nothing has left this process, so the place is taken at the new owner. */
 static void move_reservation(entry_table_t *table, pimento_usec_t now,
 			     entry_t *entry, pimento_id_t owner)
 {
-	if (entry->grant_ends || !entry->owner || entry->owner == owner)
+	if (entry->grant_expires_at || !entry->owner || entry->owner == owner)
 		return;
 	entry_release(table, entry, RELEASE_UNUSED);
 	entry_reserve(table, now, entry);
@@ -395,18 +402,18 @@
 
 void entry_owners_changed(entry_table_t *table, pimento_usec_t now)
 {
-	for (uint32_t i = 0; i < table->high; i++) {
+	for (uint32_t i = 0; i < table->high_water; i++) {
 		entry_t *entry = &table->entries[i];
 		pimento_id_t owner;
 
 		if (entry->state == ENTRY_FREE || !entry->endpoint)
 			continue;
-		owner = member_owner(table->member, entry->endpoint);
+		owner = member_owner(table->membership, entry->endpoint);
 		if (entry->state == ENTRY_RESERVING ||
 		    entry->state == ENTRY_WAITING)
 			move_reservation(table, now, entry, owner);
 		else if (entry->state == ENTRY_DISPATCHED ||
-			 entry->state == ENTRY_FOLLOWING)
+			 entry->state == ENTRY_RESUMING)
 			move_slot(table, now, entry, owner);
 	}
 }
--- a/src/host.c
+++ b/src/host.c
@@ -15,42 +15,42 @@
 #define DIGEST_PERIOD (500 * PIMENTO_MSEC)
 #define DIGEST_FANOUT 4
 /* Witnesses that an issued key names. */
-#define ISSUED_WITNESSES 3
+#define KEY_WITNESSES 3
 /* Bound on the difference between two hosts' wall clocks. */
-#define SKEW_DEFAULT (2 * PIMENTO_SEC)
-#define LIVE_MAX 1024
+#define CLOCK_SKEW_DEFAULT (2 * PIMENTO_SEC)
+#define LIVE_HOSTS_MAX 1024
 /* A new host waits this long for peers before it takes callers without. */
 #define READY_GRACE (3 * PIMENTO_SEC)
-#define RETENTION_DEFAULT (600 * PIMENTO_SEC)
-#define KEYS_DEFAULT 65536
-#define WAITING_DEFAULT 100000
-#define REQUESTS_DEFAULT 4096
+#define KEY_RETENTION_DEFAULT (600 * PIMENTO_SEC)
+#define KEYS_MAX_DEFAULT 65536
+#define WAITING_MAX_DEFAULT 100000
+#define REQUESTS_MAX_DEFAULT 4096
 
 /*
  * A configuration with its count of references. Traffic threads hold one while
  * the control thread switches to the next, so the count is atomic; the
  * configuration itself is never written after it was parsed.
  */
-typedef struct config_box {
+typedef struct refcounted_config {
 	pimento_config_t config; /* first, so that the two share an address */
-	atomic_uint references;
-} config_box_t;
+	atomic_uint refs;
+} refcounted_config_t;
 
-struct pimento_config *pimento_config_hold(struct pimento_config *config)
+struct pimento_config *pimento_config_ref(struct pimento_config *config)
 {
 	if (config)
-		atomic_fetch_add(&((config_box_t *)config)->references, 1);
+		atomic_fetch_add(&((refcounted_config_t *)config)->refs, 1);
 	return config;
 }
 
-void pimento_config_drop(struct pimento_config *config)
+void pimento_config_unref(struct pimento_config *config)
 {
-	config_box_t *box = (config_box_t *)config;
+	refcounted_config_t *refcounted = (refcounted_config_t *)config;
 
-	if (!box || atomic_fetch_sub(&box->references, 1) != 1)
+	if (!refcounted || atomic_fetch_sub(&refcounted->refs, 1) != 1)
 		return;
-	pimento_config_finish(&box->config);
-	free(box);
+	pimento_config_finish(&refcounted->config);
+	free(refcounted);
 }
 
 size_t pimento_host_size(void)
@@ -61,16 +61,16 @@
 static void set_defaults(pimento_host_options_t *options)
 {
 	if (!options->requests_max)
-		options->requests_max = REQUESTS_DEFAULT;
+		options->requests_max = REQUESTS_MAX_DEFAULT;
 	if (!options->waiting_max)
-		options->waiting_max = WAITING_DEFAULT;
+		options->waiting_max = WAITING_MAX_DEFAULT;
 	if (!options->keys_max)
-		options->keys_max = KEYS_DEFAULT;
-	if (!options->skew)
-		options->skew = SKEW_DEFAULT;
+		options->keys_max = KEYS_MAX_DEFAULT;
+	if (!options->clock_skew_max)
+		options->clock_skew_max = CLOCK_SKEW_DEFAULT;
 }
 
-static int init_parts(pimento_host_t *host, pimento_usec_t now)
+static int init_modules(pimento_host_t *host, pimento_usec_t now)
 {
 	const pimento_host_options_t *o = &host->options;
 	member_options_t member = { .self = host->self,
@@ -82,18 +82,18 @@
 				  .waiting_max = o->waiting_max };
 	witness_options_t witness = { .incarnation = o->incarnation,
 				      .capacity = o->keys_max,
-				      .retention = RETENTION_DEFAULT,
+				      .retention = KEY_RETENTION_DEFAULT,
 				      .started = now,
-				      .clock_skew_max = o->skew };
+				      .clock_skew_max = o->clock_skew_max };
 	entry_options_t entry = { .self = host->self,
 				  .incarnation = o->incarnation,
 				  .requests_max = o->requests_max };
 	int error = outbox_init(&host->out, OUTBOX_CAPACITY);
 
 	if (!error)
-		error = member_init(&host->member, &member, &host->out);
+		error = member_init(&host->membership, &member, &host->out);
 	if (!error)
-		error = spread_init(&host->spread, &spread, &host->out);
+		error = spread_init(&host->config_sync, &spread, &host->out);
 	if (!error)
 		error = owner_init(&host->owner, &owner, &host->out);
 	if (!error)
@@ -102,7 +102,7 @@
 		error = witness_init(&host->witness, &witness);
 	if (!error)
 		error = entry_init(&host->entries, &entry, &host->route,
-				   &host->member, &host->out);
+				   &host->membership, &host->out);
 	return error;
 }
 
@@ -119,9 +119,9 @@
 	host->self = pimento_id(options->name);
 	host->started = now;
 	host->now = now;
-	host->next_epoch = 1;
+	host->last_epoch = 1;
 	pimento_random_init(&host->random, options->seed);
-	error = init_parts(host, now);
+	error = init_modules(host, now);
 	if (error)
 		pimento_host_finish(host);
 	return error;
@@ -133,13 +133,13 @@
 	witness_finish(&host->witness);
 	route_finish(&host->route);
 	owner_finish(&host->owner);
-	spread_finish(&host->spread);
-	member_finish(&host->member);
+	spread_finish(&host->config_sync);
+	member_finish(&host->membership);
 	outbox_finish(&host->out);
-	pimento_config_drop(host->config);
+	pimento_config_unref(host->config);
 	hostlist_finish(&host->hosts);
 	free(host->endpoints);
-	free(host->problems);
+	free(host->update_errors);
 	memset(host, 0, sizeof(*host));
 }
 
@@ -153,9 +153,9 @@
 	uint64_t epoch = (uint64_t)(host->options.wall_msec * PIMENTO_MSEC +
 				    (now - host->started));
 
-	if (epoch <= host->next_epoch)
-		epoch = host->next_epoch + 1;
-	host->next_epoch = epoch;
+	if (epoch <= host->last_epoch)
+		epoch = host->last_epoch + 1;
+	host->last_epoch = epoch;
 	return epoch;
 }
 
@@ -163,10 +163,10 @@
 			    host_endpoint_t *endpoint, double share)
 {
 	pimento_id_t id = endpoint->config->id;
-	pimento_id_t owner = member_owner(&host->member, id);
+	pimento_id_t owner = member_owner(&host->membership, id);
 	bool was_ours = endpoint->owner == host->self;
 	bool is_ours = owner == host->self;
-	bool leaving = member_state(&host->member, id) == HOST_LEAVING;
+	bool leaving = member_state(&host->membership, id) == HOST_LEAVING;
 
 	endpoint->owner = owner;
 	if (was_ours && !is_ours)
@@ -188,9 +188,9 @@
 /* Rendezvous over the hosts in sight; each host does this by itself. */
 static void assign_owners(pimento_host_t *host, pimento_usec_t now)
 {
-	double share = member_share(&host->member);
+	double share = member_share(&host->membership);
 
-	host->changes = host->member.changes;
+	host->applied_changes = host->membership.changes;
 	for (uint32_t i = 0; i < host->endpoint_count; i++)
 		assign_endpoint(host, now, &host->endpoints[i], share);
 	entry_owners_changed(&host->entries, now);
@@ -207,8 +207,8 @@
 }
 
 /* Endpoints that the new configuration no longer has are given up. */
-static void drop_removed(pimento_host_t *host, pimento_usec_t now,
-			 const pimento_config_t *config)
+static void drop_removed_endpoints(pimento_host_t *host, pimento_usec_t now,
+				   const pimento_config_t *config)
 {
 	for (uint32_t i = 0; i < host->endpoint_count; i++) {
 		const host_endpoint_t *old = &host->endpoints[i];
@@ -228,7 +228,7 @@
 
 	if (!endpoints)
 		return PIMENTO_ENOMEM;
-	drop_removed(host, now, config);
+	drop_removed_endpoints(host, now, config);
 	for (uint32_t i = 0; i < count; i++) {
 		const host_endpoint_t *old =
 			find_endpoint(host, config->endpoints[i].id);
@@ -245,59 +245,59 @@
 }
 
 /* Keeps the mistakes, for whoever must mend the answers and publish again. */
-static void note_refused(pimento_host_t *host, uint64_t revision,
-			 problems_t *problems)
+static void record_rejected_update(pimento_host_t *host, uint64_t revision,
+				   problems_t *problems)
 {
-	free(host->problems);
-	host->problems = problems->text ? strdup(problems->text) : NULL;
-	host->refused_revision = revision;
-	host->refused_changed = true;
+	free(host->update_errors);
+	host->update_errors = problems->text ? strdup(problems->text) : NULL;
+	host->rejected_revision = revision;
+	host->update_rejected = true;
 }
 
 /* Switching is one step of the control thread: no request sees two halves. */
-static int take_config(pimento_host_t *host, pimento_usec_t now,
-		       uint64_t revision, const char *text, size_t length)
+static int apply_config(pimento_host_t *host, pimento_usec_t now,
+			uint64_t revision, const char *text, size_t length)
 {
-	config_box_t *box = calloc(1, sizeof(*box));
+	refcounted_config_t *refcounted = calloc(1, sizeof(*refcounted));
 	pimento_config_t *old = host->config;
 	problems_t problems;
 	int error;
 
-	if (!box)
+	if (!refcounted)
 		return PIMENTO_ENOMEM;
-	atomic_init(&box->references, 1);
+	atomic_init(&refcounted->refs, 1);
 	problems_init(&problems);
-	error = pimento_config_parse(&box->config, text, length,
+	error = pimento_config_parse(&refcounted->config, text, length,
 				     "configuration", &problems);
 	if (error)
-		note_refused(host, revision, &problems);
+		record_rejected_update(host, revision, &problems);
 	problems_finish(&problems);
 	if (error) {
-		free(box);
-		host->config_refused = revision;
+		free(refcounted);
+		host->rejected_config_revision = revision;
 		return error;
 	}
-	box->config.revision = revision;
-	error = switch_endpoints(host, now, &box->config);
+	refcounted->config.revision = revision;
+	error = switch_endpoints(host, now, &refcounted->config);
 	if (!error)
-		error = route_configure(&host->route, now, &box->config);
+		error = route_configure(&host->route, now, &refcounted->config);
 	if (!error)
-		error = owner_configure(&host->owner, &box->config);
+		error = owner_configure(&host->owner, &refcounted->config);
 	if (error) {
-		pimento_config_drop(&box->config);
+		pimento_config_unref(&refcounted->config);
 		return error;
 	}
-	host->config = &box->config;
-	host->witness.options.retention = box->config.retention;
+	host->config = &refcounted->config;
+	host->witness.options.retention = refcounted->config.retention;
 	host->config_switches++;
 	host->config_changed = true;
 	assign_owners(host, now);
-	pimento_config_drop(old);
+	pimento_config_unref(old);
 	return PIMENTO_OK;
 }
 
-static int take_hosts(pimento_host_t *host, pimento_usec_t now,
-		      uint64_t revision, const char *text, size_t length)
+static int apply_hostlist(pimento_host_t *host, pimento_usec_t now,
+			  uint64_t revision, const char *text, size_t length)
 {
 	hostlist_t list;
 	problems_t problems;
@@ -306,14 +306,14 @@
 	problems_init(&problems);
 	error = hostlist_parse(&list, text, length, &problems);
 	if (error)
-		note_refused(host, revision, &problems);
+		record_rejected_update(host, revision, &problems);
 	problems_finish(&problems);
 	if (error)
 		return error;
 	list.revision = revision;
 	hostlist_finish(&host->hosts);
 	host->hosts = list;
-	member_publish(&host->member, now, &host->hosts);
+	member_publish(&host->membership, now, &host->hosts);
 	witness_adopt_hostlist(&host->witness, now, &host->hosts, host->self);
 	host->hosts_changed = true;
 	assign_owners(host, now);
@@ -321,7 +321,7 @@
 }
 
 /* Judges whatever text the spread has complete. */
-static int take_pending(pimento_host_t *host, pimento_usec_t now)
+static int apply_pending_updates(pimento_host_t *host, pimento_usec_t now)
 {
 	static const config_sync_subject_t subjects[] = { CONFIG_SYNC_HOSTS,
 							  CONFIG_SYNC_CONFIG };
@@ -330,64 +330,68 @@
 	for (size_t i = 0; i < sizeof(subjects) / sizeof(subjects[0]); i++) {
 		uint64_t revision;
 		size_t length;
-		const char *text = spread_pending(&host->spread, subjects[i],
-						  &revision, &length);
+		const char *text = spread_pending(
+			&host->config_sync, subjects[i], &revision, &length);
 		int error;
 
 		if (!text)
 			continue;
 		error = subjects[i] == CONFIG_SYNC_HOSTS
-				? take_hosts(host, now, revision, text, length)
-				: take_config(host, now, revision, text,
-					      length);
-		spread_judge(&host->spread, now, subjects[i], !error);
+				? apply_hostlist(host, now, revision, text,
+						 length)
+				: apply_config(host, now, revision, text,
+					       length);
+		spread_judge(&host->config_sync, now, subjects[i], !error);
 		if (error)
 			result = error;
 	}
-	host->member.revision =
-		spread_revision(&host->spread, CONFIG_SYNC_CONFIG);
-	host->member.hosts_revision =
-		spread_revision(&host->spread, CONFIG_SYNC_HOSTS);
+	host->membership.revision =
+		spread_revision(&host->config_sync, CONFIG_SYNC_CONFIG);
+	host->membership.hosts_revision =
+		spread_revision(&host->config_sync, CONFIG_SYNC_HOSTS);
 	return result;
 }
 
-int pimento_host_read(pimento_host_t *host, pimento_usec_t now, bool hosts,
-		      uint64_t revision, const char *text, size_t length)
+int pimento_host_apply_update(pimento_host_t *host, pimento_usec_t now,
+			      bool hosts, uint64_t revision, const char *text,
+			      size_t length)
 {
 	config_sync_subject_t subject =
 		hosts ? CONFIG_SYNC_HOSTS : CONFIG_SYNC_CONFIG;
-	int error = spread_read(&host->spread, now, subject, revision, text,
-				length);
+	int error = spread_read(&host->config_sync, now, subject, revision,
+				text, length);
 
 	host->now = now;
 	if (error)
 		return error;
-	return take_pending(host, now);
+	return apply_pending_updates(host, now);
 }
 
-void pimento_host_refreshed(pimento_host_t *host, pimento_usec_t now,
-			    pimento_usec_t begun)
+void pimento_host_confirm_current(pimento_host_t *host, pimento_usec_t now,
+				  pimento_usec_t begun)
 {
 	host->now = now;
-	member_refreshed(&host->member, now, begun);
+	member_refreshed(&host->membership, now, begun);
 }
 
-bool pimento_host_fresh(const pimento_host_t *host)
+bool pimento_host_is_current(const pimento_host_t *host)
 {
-	return member_fresh(&host->member, host->now);
+	return member_fresh(&host->membership, host->now);
 }
 
-bool pimento_host_reader(const pimento_host_t *host, pimento_usec_t *interval)
+bool pimento_host_should_watch(const pimento_host_t *host,
+			       pimento_usec_t *interval)
 {
-	pimento_id_t live[LIVE_MAX];
-	uint32_t count = member_live(&host->member, live, LIVE_MAX);
+	pimento_id_t live[LIVE_HOSTS_MAX];
+	uint32_t count = member_live(&host->membership, live, LIVE_HOSTS_MAX);
 
-	return spread_reader(&host->spread, live, count, interval);
+	return spread_reader(&host->config_sync, live, count, interval);
 }
 
-static int key_witnesses(pimento_host_t *host, const pimento_request_t *request,
-			 pimento_key_t *key, witness_set_t *witnesses,
-			 pimento_usec_t *age)
+static int resolve_key_witnesses(pimento_host_t *host,
+				 const pimento_request_t *request,
+				 pimento_key_t *key, witness_set_t *witnesses,
+				 pimento_usec_t *age)
 {
 	int64_t birth = -1;
 	int error;
@@ -419,16 +423,16 @@
 	 * A process that stood still may hold a configuration that was replaced
 	 * meanwhile, and would serve under it as if it were in force.
 	 */
-	if (!host->config || !member_fresh(&host->member, now))
+	if (!host->config || !member_fresh(&host->membership, now))
 		return PIMENTO_EUNREADY;
-	if (request->tier >= PIMENTO_TIERS_MAX || request->patience <= 0)
+	if (request->tier >= PIMENTO_TIERS_MAX || request->client_timeout <= 0)
 		return PIMENTO_EINVAL;
 	if (!request->key)
 		return request->repeatable
 			       ? entry_submit(&host->entries, now, request, key,
 					      NULL, age, handle, id)
 			       : PIMENTO_EINVAL;
-	error = key_witnesses(host, request, &key, &witnesses, &age);
+	error = resolve_key_witnesses(host, request, &key, &witnesses, &age);
 	if (error)
 		return error;
 	return entry_submit(&host->entries, now, request, key, &witnesses, age,
@@ -449,8 +453,8 @@
 	entry_event(&host->entries, now, handle, event);
 }
 
-static void take_claim(pimento_host_t *host, pimento_usec_t now,
-		       pimento_id_t from, const message_claim_t *claim)
+static void handle_claim(pimento_host_t *host, pimento_usec_t now,
+			 pimento_id_t from, const message_claim_t *claim)
 {
 	message_t reply = { .kind = MESSAGE_WITNESS };
 
@@ -458,15 +462,15 @@
 	outbox_put(&host->out, from, &reply);
 }
 
-static void take_digest(pimento_host_t *host, pimento_usec_t now,
-			const message_digest_t *digest)
+static void handle_digest(pimento_host_t *host, pimento_usec_t now,
+			  const message_digest_t *digest)
 {
 	for (uint32_t i = 0; i < digest->count; i++)
 		route_update_summary(&host->route, now, &digest->summaries[i]);
 }
 
-static int receive(pimento_host_t *host, pimento_usec_t now, pimento_id_t from,
-		   const message_t *message)
+static int handle_message(pimento_host_t *host, pimento_usec_t now,
+			  pimento_id_t from, const message_t *message)
 {
 	switch (message->kind) {
 	case MESSAGE_RESERVE:
@@ -479,22 +483,22 @@
 	case MESSAGE_WITNESS:
 		return entry_receive(&host->entries, now, from, message);
 	case MESSAGE_DIGEST:
-		take_digest(host, now, &message->u.digest);
+		handle_digest(host, now, &message->u.digest);
 		return PIMENTO_OK;
 	case MESSAGE_CLAIM:
-		take_claim(host, now, from, &message->u.claim);
+		handle_claim(host, now, from, &message->u.claim);
 		return PIMENTO_OK;
 	case MESSAGE_PROBE:
 	case MESSAGE_ACK:
-		spread_heard(&host->spread, now, from, CONFIG_SYNC_CONFIG,
+		spread_heard(&host->config_sync, now, from, CONFIG_SYNC_CONFIG,
 			     message->u.probe.revision);
-		spread_heard(&host->spread, now, from, CONFIG_SYNC_HOSTS,
+		spread_heard(&host->config_sync, now, from, CONFIG_SYNC_HOSTS,
 			     message->u.probe.hosts_revision);
-		return member_receive(&host->member, now, from, message);
+		return member_receive(&host->membership, now, from, message);
 	case MESSAGE_OFFER:
 	case MESSAGE_PULL:
 	case MESSAGE_PART:
-		return spread_receive(&host->spread, now, from, message);
+		return spread_receive(&host->config_sync, now, from, message);
 	case MESSAGE_NONE:
 	case MESSAGE_KINDS:
 	default:
@@ -510,19 +514,20 @@
 	host->now = now;
 	if (from == host->self || !from)
 		return PIMENTO_EINVAL;
-	member_meet(&host->member, now, from);
-	member_heard(&host->member, now, from);
-	error = receive(host, now, from, message);
-	take_pending(host, now);
-	if (host->member.changes != host->changes)
+	member_meet(&host->membership, now, from);
+	member_heard(&host->membership, now, from);
+	error = handle_message(host, now, from, message);
+	apply_pending_updates(host, now);
+	if (host->membership.changes != host->applied_changes)
 		assign_owners(host, now);
 	return error;
 }
 
-void pimento_host_report(pimento_host_t *host, pimento_usec_t now,
-			 pimento_id_t endpoint, uint32_t running,
-			 uint32_t waiting, uint32_t tokens_left,
-			 pimento_usec_t age, bool leaving, uint64_t incarnation)
+void pimento_host_report_load(pimento_host_t *host, pimento_usec_t now,
+			      pimento_id_t endpoint, uint32_t running,
+			      uint32_t waiting, uint32_t tokens_left,
+			      pimento_usec_t age, bool leaving,
+			      uint64_t incarnation)
 {
 	load_report_t report = { .age = age,
 				 .running = running,
@@ -533,11 +538,12 @@
 	host->now = now;
 	owner_load_report(&host->owner, now, endpoint, &report);
 	if (leaving)
-		member_endpoint_leaving(&host->member, now, endpoint,
+		member_endpoint_leaving(&host->membership, now, endpoint,
 					incarnation);
 	else
-		member_endpoint_live(&host->member, now, endpoint, incarnation);
-	if (host->member.changes != host->changes)
+		member_endpoint_live(&host->membership, now, endpoint,
+				     incarnation);
+	if (host->membership.changes != host->applied_changes)
 		assign_owners(host, now);
 }
 
@@ -545,13 +551,13 @@
 {
 	host->now = now;
 	host->leaving = true;
-	member_leave(&host->member, now);
+	member_leave(&host->membership, now);
 	assign_owners(host, now);
 }
 
-uint32_t pimento_host_busy(const pimento_host_t *host)
+uint32_t pimento_host_active_requests(const pimento_host_t *host)
 {
-	return host->entries.busy;
+	return host->entries.active;
 }
 
 /* A digest goes to a few peers by chance, so its cost is constant. */
@@ -559,20 +565,20 @@
 {
 	message_t message = { .kind = MESSAGE_DIGEST };
 	message_digest_t *digest = &message.u.digest;
-	pimento_id_t live[LIVE_MAX];
-	uint32_t peers = member_live(&host->member, live, LIVE_MAX);
+	pimento_id_t live[LIVE_HOSTS_MAX];
+	uint32_t peers = member_live(&host->membership, live, LIVE_HOSTS_MAX);
 
 	for (uint32_t i = 0;
 	     i < host->endpoint_count && digest->count < MESSAGE_SUMMARIES_MAX;
 	     i++) {
-		uint32_t at = (host->digest_from + i) % host->endpoint_count;
+		uint32_t at = (host->digest_start + i) % host->endpoint_count;
 		pimento_id_t id = host->endpoints[at].config->id;
 
 		if (!owner_summary(&host->owner, now, id,
 				   &digest->summaries[digest->count]))
 			digest->count++;
 	}
-	host->digest_from++;
+	host->digest_start++;
 	if (!digest->count || !peers)
 		return;
 	for (uint32_t i = 0; i < DIGEST_FANOUT; i++) {
@@ -582,17 +588,17 @@
 		if (to != host->self)
 			outbox_put(&host->out, to, &message);
 	}
-	take_digest(host, now, digest);
+	handle_digest(host, now, digest);
 }
 
 void pimento_host_tick(pimento_host_t *host, pimento_usec_t now)
 {
 	host->now = now;
-	member_tick(&host->member, now);
-	spread_tick(&host->spread, now);
+	member_tick(&host->membership, now);
+	spread_tick(&host->config_sync, now);
 	witness_tick(&host->witness, now);
-	take_pending(host, now);
-	if (host->member.changes != host->changes)
+	apply_pending_updates(host, now);
+	if (host->membership.changes != host->applied_changes)
 		assign_owners(host, now);
 	owner_tick(&host->owner, now);
 	entry_tick(&host->entries, now);
@@ -602,7 +608,7 @@
 	}
 }
 
-static pimento_usec_t earlier(pimento_usec_t a, pimento_usec_t b)
+static pimento_usec_t usec_min(pimento_usec_t a, pimento_usec_t b)
 {
 	return a < b ? a : b;
 }
@@ -611,47 +617,47 @@
 {
 	pimento_usec_t due = host->next_digest;
 
-	due = earlier(due, member_deadline(&host->member));
-	due = earlier(due, spread_deadline(&host->spread));
-	due = earlier(due, owner_deadline(&host->owner));
-	return earlier(due, host->entries.wake);
+	due = usec_min(due, member_deadline(&host->membership));
+	due = usec_min(due, spread_deadline(&host->config_sync));
+	due = usec_min(due, owner_deadline(&host->owner));
+	return usec_min(due, host->entries.next_wake);
 }
 
 /* Takes one message out; those to this host itself are handed over here. */
-static bool next_message(pimento_host_t *host, pimento_id_t *to)
+static bool next_outgoing_message(pimento_host_t *host, pimento_id_t *to)
 {
 	while (outbox_take(&host->out, to, &host->scratch)) {
 		if (*to != host->self)
 			return true;
-		receive(host, host->now, host->self, &host->scratch);
+		handle_message(host, host->now, host->self, &host->scratch);
 	}
 	return false;
 }
 
-int pimento_host_next(pimento_host_t *host, pimento_action_t *action)
+int pimento_host_next_action(pimento_host_t *host, pimento_action_t *action)
 {
 	memset(action, 0, sizeof(*action));
 	if (host->config_changed) {
 		host->config_changed = false;
-		action->kind = PIMENTO_ACTION_CONFIG;
+		action->kind = PIMENTO_ACTION_CONFIG_CHANGED;
 		return 1;
 	}
 	if (host->hosts_changed) {
 		host->hosts_changed = false;
-		action->kind = PIMENTO_ACTION_HOSTS;
+		action->kind = PIMENTO_ACTION_HOSTS_CHANGED;
 		return 1;
 	}
-	if (host->refused_changed) {
-		host->refused_changed = false;
-		action->kind = PIMENTO_ACTION_REFUSED_TEXT;
+	if (host->update_rejected) {
+		host->update_rejected = false;
+		action->kind = PIMENTO_ACTION_UPDATE_REJECTED;
 		return 1;
 	}
-	if (next_message(host, &action->peer)) {
+	if (next_outgoing_message(host, &action->peer)) {
 		action->kind = PIMENTO_ACTION_SEND;
 		action->message = &host->scratch;
 		return 1;
 	}
-	return entry_next(&host->entries, action);
+	return entry_next_action(&host->entries, action);
 }
 
 struct pimento_config *pimento_host_config(const pimento_host_t *host)
@@ -659,32 +665,33 @@
 	return host->config;
 }
 
-const struct hostlist *pimento_host_list(const pimento_host_t *host)
+const struct hostlist *pimento_host_hostlist(const pimento_host_t *host)
 {
 	return &host->hosts;
 }
 
-const char *pimento_host_problems(const pimento_host_t *host,
-				  uint64_t *revision)
+const char *pimento_host_update_errors(const pimento_host_t *host,
+				       uint64_t *revision)
 {
-	*revision = host->refused_revision;
-	return host->problems;
+	*revision = host->rejected_revision;
+	return host->update_errors;
 }
 
 /* Chooses witnesses among the live hosts, this one first. */
 static void choose_witnesses(const pimento_host_t *host, uint32_t start,
 			     witness_set_t *set)
 {
-	pimento_id_t live[LIVE_MAX];
-	uint32_t count = member_live(&host->member, live, LIVE_MAX);
+	pimento_id_t live[LIVE_HOSTS_MAX];
+	uint32_t count = member_live(&host->membership, live, LIVE_HOSTS_MAX);
 
 	memset(set, 0, sizeof(*set));
 	set->hosts[0] = host->self;
 	set->incarnations[0] = host->options.incarnation;
 	set->count = 1;
-	for (uint32_t i = 0; i < count && set->count < ISSUED_WITNESSES; i++) {
+	for (uint32_t i = 0; i < count && set->count < KEY_WITNESSES; i++) {
 		pimento_id_t id = live[(start + i) % count];
-		uint64_t incarnation = member_incarnation(&host->member, id);
+		uint64_t incarnation =
+			member_incarnation(&host->membership, id);
 
 		if (id == host->self || !incarnation)
 			continue;
@@ -703,15 +710,15 @@
 
 	for (uint32_t i = 0; i < host->hosts.count; i++)
 		entries += !host->hosts.hosts[i].endpoint;
-	return set->count >= ISSUED_WITNESSES || entries < ISSUED_WITNESSES;
+	return set->count >= KEY_WITNESSES || entries < KEY_WITNESSES;
 }
 
-int pimento_host_issue(pimento_host_t *host, pimento_usec_t now,
-		       int64_t wall_msec, uint64_t nonce,
-		       char text[PIMENTO_KEY_TEXT])
+int pimento_host_issue_key(pimento_host_t *host, pimento_usec_t now,
+			   int64_t wall_msec, uint64_t nonce,
+			   char text[PIMENTO_KEY_TEXT_SIZE])
 {
 	uint32_t start =
-		(uint32_t)pimento_random_below(&host->random, LIVE_MAX);
+		(uint32_t)pimento_random_below(&host->random, LIVE_HOSTS_MAX);
 	witness_set_t set;
 
 	(void)now;
@@ -726,7 +733,8 @@
 {
 	witness_set_t set;
 
-	if (host->leaving || !host->config || !member_fresh(&host->member, now))
+	if (host->leaving || !host->config ||
+	    !member_fresh(&host->membership, now))
 		return false;
 	choose_witnesses(host, 0, &set);
 	return enough_witnesses(host, &set) ||
@@ -740,8 +748,8 @@
 	message->kind = MESSAGE_PROBE;
 	memset(probe, 0, sizeof(*probe));
 	probe->incarnation = host->options.incarnation;
-	probe->revision = host->member.revision;
-	probe->hosts_revision = host->member.hosts_revision;
+	probe->revision = host->membership.revision;
+	probe->hosts_revision = host->membership.hosts_revision;
 }
 
 bool host_endpoint_status(const pimento_host_t *host, pimento_usec_t now,
--- a/src/host.h
+++ b/src/host.h
@@ -26,8 +26,8 @@
 	pimento_id_t self;
 	pimento_random_t random;
 	outbox_t out;
-	member_t member;
-	spread_t spread;
+	member_t membership;
+	spread_t config_sync;
 	owner_t owner;
 	route_t route;
 	witness_t witness;
@@ -36,16 +36,16 @@
 	hostlist_t hosts;
 	host_endpoint_t *endpoints;
 	uint32_t endpoint_count;
-	uint64_t changes; /* of membership, as far as taken over */
-	uint64_t next_epoch;
-	uint64_t config_refused; /* revision that failed its checks */
-	uint64_t refused_revision; /* of either text */
-	char *problems; /* why it was refused */
-	bool refused_changed;
+	uint64_t applied_changes; /* of membership, as far as taken over */
+	uint64_t last_epoch;
+	uint64_t rejected_config_revision; /* revision that failed its checks */
+	uint64_t rejected_revision; /* of either text */
+	char *update_errors; /* why it was refused */
+	bool update_rejected;
 	pimento_usec_t started;
 	pimento_usec_t now; /* of the latest call */
 	pimento_usec_t next_digest;
-	uint32_t digest_from; /* endpoint the next digest begins with */
+	uint32_t digest_start; /* endpoint the next digest begins with */
 	uint32_t config_switches;
 	bool leaving;
 	bool config_changed; /* an action is due */
--- a/src/idem_key.c
+++ b/src/idem_key.c
@@ -288,7 +288,7 @@
 	pimento_key_t key = { hash.high64, hash.low64 };
 
 	/* All zero would mean that there is no key. */
-	if (pimento_key_none(key))
+	if (pimento_key_is_none(key))
 		key.lo = 1;
 	return key;
 }
--- a/src/message.h
+++ b/src/message.h
@@ -85,7 +85,7 @@
 typedef struct message_refuse {
 	pimento_reqid_t request;
 	uint32_t round;
-	int32_t reason; /* PIMENTO_ELATE, _EBUSY, _ELEAVING, _ESTALE ... */
+	int32_t reason; /* PIMENTO_EDEADLINE, _EBUSY, _ELEAVING, _ESTALE ... */
 	pimento_usec_t retry_after;
 	pimento_id_t alternative_endpoint; /* endpoint to try instead, 0 none */
 	message_summary_t summary;
--- a/src/owner.c
+++ b/src/owner.c
@@ -242,7 +242,7 @@
 
 			if (now + wait <= r->item.deadline)
 				break;
-			refuse(owner, now, r, PIMENTO_ELATE);
+			refuse(owner, now, r, PIMENTO_EDEADLINE);
 		}
 	}
 }
@@ -355,7 +355,7 @@
 	if (endpoint_speed_measured(e) &&
 	    (double)wait * WAIT_ESTIMATE_FACTOR + (double)service >
 		    (double)params->time_left)
-		return PIMENTO_ELATE;
+		return PIMENTO_EDEADLINE;
 	return 0;
 }
 
@@ -691,7 +691,7 @@
 	}
 	r->due = latest_start(r);
 	if (r->due <= now)
-		refuse(owner, now, r, PIMENTO_ELATE);
+		refuse(owner, now, r, PIMENTO_EDEADLINE);
 	else
 		heap_put(&owner->due, r, r->due);
 }
--- a/src/witness.c
+++ b/src/witness.c
@@ -356,7 +356,7 @@
 static int check_eligible(const witness_t *witness, pimento_usec_t now,
 			  const message_claim_t *msg)
 {
-	if (pimento_key_none(msg->key) ||
+	if (pimento_key_is_none(msg->key) ||
 	    (!msg->attempt && msg->op != CLAIM_QUERY))
 		return PIMENTO_EINVAL;
 	if (msg->incarnation &&
--- a/test/gossip.c
+++ b/test/gossip.c
@@ -13,103 +13,107 @@
 #include <string.h>
 
 #define WATCH_DELAY (5 * PIMENTO_MSEC) /* of the platform's answer */
-#define WATCH_AGAIN (200 * PIMENTO_MSEC)
-#define OUTBOX 4096
-#define PAUSE_NOTICED (2 * PIMENTO_SEC) /* a shorter one may go unnoticed */
+#define WATCH_RETRY_PERIOD (200 * PIMENTO_MSEC)
+#define OUTBOX_CAPACITY 4096
+#define PAUSE_DETECTED_MIN \
+	(2 * PIMENTO_SEC) /* a shorter one may go unnoticed */
 
-static bool before(const gossip_event_t *a, const gossip_event_t *b)
+static bool before(const gossip_sim_event_t *a, const gossip_sim_event_t *b)
 {
 	return a->at != b->at ? a->at < b->at : a->order < b->order;
 }
 
-static void push(gossip_t *f, gossip_event_t event)
+static void push(gossip_sim_t *sim, gossip_sim_event_t event)
 {
-	uint32_t i = f->heap_count++;
+	uint32_t i = sim->heap_count++;
 
-	if (f->heap_count > f->heap_capacity) {
-		f->heap_capacity = f->heap_capacity ? f->heap_capacity * 2 : 64;
-		f->heap = realloc(f->heap, f->heap_capacity * sizeof(*f->heap));
+	if (sim->heap_count > sim->heap_capacity) {
+		sim->heap_capacity =
+			sim->heap_capacity ? sim->heap_capacity * 2 : 64;
+		sim->heap = realloc(sim->heap,
+				    sim->heap_capacity * sizeof(*sim->heap));
 	}
-	event.order = ++f->order;
-	for (; i && before(&event, &f->heap[(i - 1) / 2]); i = (i - 1) / 2)
-		f->heap[i] = f->heap[(i - 1) / 2];
-	f->heap[i] = event;
+	event.order = ++sim->order;
+	for (; i && before(&event, &sim->heap[(i - 1) / 2]); i = (i - 1) / 2)
+		sim->heap[i] = sim->heap[(i - 1) / 2];
+	sim->heap[i] = event;
 }
 
-static gossip_event_t pop(gossip_t *f)
+static gossip_sim_event_t pop(gossip_sim_t *sim)
 {
-	gossip_event_t top = f->heap[0];
-	gossip_event_t last = f->heap[--f->heap_count];
+	gossip_sim_event_t top = sim->heap[0];
+	gossip_sim_event_t last = sim->heap[--sim->heap_count];
 	uint32_t i = 0;
 
 	for (;;) {
 		uint32_t child = 2 * i + 1;
 
-		if (child >= f->heap_count)
+		if (child >= sim->heap_count)
 			break;
-		if (child + 1 < f->heap_count &&
-		    before(&f->heap[child + 1], &f->heap[child]))
+		if (child + 1 < sim->heap_count &&
+		    before(&sim->heap[child + 1], &sim->heap[child]))
 			child++;
-		if (!before(&f->heap[child], &last))
+		if (!before(&sim->heap[child], &last))
 			break;
-		f->heap[i] = f->heap[child];
+		sim->heap[i] = sim->heap[child];
 		i = child;
 	}
-	f->heap[i] = last;
+	sim->heap[i] = last;
 	return top;
 }
 
-static uint32_t index_of(const gossip_t *f, pimento_id_t id)
+static uint32_t host_index(const gossip_sim_t *sim, pimento_id_t id)
 {
 	uint32_t i = 0;
 
-	while (i < f->count && f->hosts[i].id != id)
+	while (i < sim->count && sim->hosts[i].id != id)
 		i++;
 	return i;
 }
 
-static pimento_usec_t delay(gossip_t *f)
+static pimento_usec_t random_delay(gossip_sim_t *sim)
 {
-	uint64_t span = (uint64_t)(f->delay_max - f->delay_min) + 1;
+	uint64_t span = (uint64_t)(sim->delay_max - sim->delay_min) + 1;
 
-	if (pimento_random_unit(&f->random) < f->straggle)
+	if (pimento_random_unit(&sim->random) < sim->slow_message_chance)
 		span += PIMENTO_SEC;
-	return f->delay_min +
-	       (pimento_usec_t)pimento_random_below(&f->random, span);
+	return sim->delay_min +
+	       (pimento_usec_t)pimento_random_below(&sim->random, span);
 }
 
-static void post(gossip_t *f, gossip_host_t *from, pimento_id_t to,
-		 const message_t *message)
+static void send_message(gossip_sim_t *sim, gossip_sim_host_t *from,
+			 pimento_id_t to, const message_t *message)
 {
 	static uint8_t frame[WIRE_FRAME_MAX];
-	uint32_t i = index_of(f, to);
+	uint32_t i = host_index(sim, to);
 	int length = wire_encode(from->id, message, frame, sizeof(frame));
-	gossip_event_t event = { .host = i, .from = from->id };
+	gossip_sim_event_t event = { .host = i, .from = from->id };
 	size_t size = message_size(message->kind);
 
-	if (length < 0 || i == f->count)
+	if (length < 0 || i == sim->count)
 		return;
 	from->sent_bytes += (uint64_t)length;
 	from->sent_messages++;
-	if (f->hosts[i].side != from->side ||
-	    pimento_random_unit(&f->random) < f->loss)
+	if (sim->hosts[i].partition != from->partition ||
+	    pimento_random_unit(&sim->random) < sim->loss)
 		return;
-	f->hosts[i].received_bytes += (uint64_t)length;
-	event.at = f->now + delay(f);
+	sim->hosts[i].received_bytes += (uint64_t)length;
+	event.at = sim->now + random_delay(sim);
 	event.message = malloc(size);
 	memcpy(event.message, message, size);
-	push(f, event);
+	push(sim, event);
 }
 
-static void problem(gossip_t *f, const gossip_host_t *h, const char *what)
+static void report_violation(gossip_sim_t *sim, const gossip_sim_host_t *h,
+			     const char *what)
 {
-	f->problems++;
-	fprintf(stderr, "at %.3f s, host %u: %s\n", (double)f->now / 1e6,
-		(unsigned)(h - f->hosts), what);
+	sim->violations++;
+	fprintf(stderr, "at %.3f s, host %u: %s\n", (double)sim->now / 1e6,
+		(unsigned)(h - sim->hosts), what);
 }
 
-static bool good(gossip_t *f, config_sync_subject_t subject, const char *text,
-		 size_t length, hostlist_t *list)
+static bool text_is_valid(gossip_sim_t *sim, config_sync_subject_t subject,
+			  const char *text, size_t length, hostlist_t *list)
 {
 	problems_t problems;
 	int error = 0;
@@ -119,134 +123,144 @@
 	problems_init(&problems);
 	error = hostlist_parse(list, text, length, &problems);
 	problems_finish(&problems);
-	(void)f;
+	(void)sim;
 	return !error;
 }
 
-static void judge(gossip_t *f, gossip_host_t *h, config_sync_subject_t subject)
+static void apply_pending(gossip_sim_t *sim, gossip_sim_host_t *h,
+			  config_sync_subject_t subject)
 {
 	hostlist_t list = { 0 };
 	uint64_t revision;
 	size_t length;
 	const char *text =
-		spread_pending(&h->spread, subject, &revision, &length);
+		spread_pending(&h->config_sync, subject, &revision, &length);
 	bool ok;
 
 	if (!text)
 		return;
-	ok = good(f, subject, text, length, &list);
+	ok = text_is_valid(sim, subject, text, length, &list);
 	if (!ok)
-		f->judged_bad++;
-	spread_judge(&h->spread, f->now, subject, ok);
+		sim->rejected_texts++;
+	spread_judge(&h->config_sync, sim->now, subject, ok);
 	if (subject == CONFIG_SYNC_HOSTS && ok) {
-		member_publish(&h->member, f->now, &list);
+		member_publish(&h->membership, sim->now, &list);
 		hostlist_finish(&list);
 	}
 	if (subject == CONFIG_SYNC_CONFIG && ok)
-		h->in_force = f->now;
+		h->in_force_at = sim->now;
 }
 
 /* What a daemon does after each step. */
-static void settle(gossip_t *f, gossip_host_t *h)
+static void finish_step(gossip_sim_t *sim, gossip_sim_host_t *h)
 {
 	static message_t message;
 	pimento_id_t to;
 	pimento_usec_t at;
 
-	judge(f, h, CONFIG_SYNC_CONFIG);
-	judge(f, h, CONFIG_SYNC_HOSTS);
-	h->member.revision = spread_revision(&h->spread, CONFIG_SYNC_CONFIG);
-	h->member.hosts_revision =
-		spread_revision(&h->spread, CONFIG_SYNC_HOSTS);
-	if (h->member.revision < h->revision)
-		problem(f, h, "the configuration reverted");
-	h->revision = h->member.revision;
-	if (member_fresh(&h->member, f->now) && h->revision < h->wake_floor)
-		problem(f, h, "serves under a revision from before its pause");
+	apply_pending(sim, h, CONFIG_SYNC_CONFIG);
+	apply_pending(sim, h, CONFIG_SYNC_HOSTS);
+	h->membership.revision =
+		spread_revision(&h->config_sync, CONFIG_SYNC_CONFIG);
+	h->membership.hosts_revision =
+		spread_revision(&h->config_sync, CONFIG_SYNC_HOSTS);
+	if (h->membership.revision < h->revision)
+		report_violation(sim, h, "the configuration reverted");
+	h->revision = h->membership.revision;
+	if (member_fresh(&h->membership, sim->now) &&
+	    h->revision < h->wake_revision_min)
+		report_violation(
+			sim, h,
+			"serves under a revision from before its pause");
 	while (outbox_take(&h->out, &to, &message))
-		post(f, h, to, &message);
-	at = member_deadline(&h->member);
-	if (spread_deadline(&h->spread) < at)
-		at = spread_deadline(&h->spread);
-	if (h->read_at < at)
-		at = h->read_at;
-	if (at <= f->now)
-		at = f->now + 1;
+		send_message(sim, h, to, &message);
+	at = member_deadline(&h->membership);
+	if (spread_deadline(&h->config_sync) < at)
+		at = spread_deadline(&h->config_sync);
+	if (h->next_read_at < at)
+		at = h->next_read_at;
+	if (at <= sim->now)
+		at = sim->now + 1;
 	if (at == h->tick_at)
 		return;
 	h->tick_at = at;
-	push(f, (gossip_event_t){ .at = at, .host = (uint32_t)(h - f->hosts) });
+	push(sim, (gossip_sim_event_t){ .at = at,
+					.host = (uint32_t)(h - sim->hosts) });
 }
 
-static void read_platform(gossip_t *f, gossip_host_t *h)
+static void poll_platform(gossip_sim_t *sim, gossip_sim_host_t *h)
 {
-	pimento_id_t live[GOSSIP_MAX];
-	uint32_t count = member_live(&h->member, live, GOSSIP_MAX);
+	pimento_id_t live[GOSSIP_SIM_HOSTS_MAX];
+	uint32_t count =
+		member_live(&h->membership, live, GOSSIP_SIM_HOSTS_MAX);
 	pimento_usec_t interval;
 
-	if (spread_reader(&h->spread, live, count, &interval))
-		h->read_at = f->now + WATCH_AGAIN;
+	if (spread_reader(&h->config_sync, live, count, &interval))
+		h->next_read_at = sim->now + WATCH_RETRY_PERIOD;
 	else
-		h->read_at = f->now + interval;
-	if (f->platform_down)
+		h->next_read_at = sim->now + interval;
+	if (sim->platform_down)
 		return;
-	f->platform_reads++;
+	sim->platform_reads++;
 	for (unsigned int s = 0; s < 2; s++) {
-		const char *text = f->texts[s];
-		uint64_t revision = f->revisions[s];
+		const char *text = sim->texts[s];
+		uint64_t revision = sim->revisions[s];
 
-		if (f->platform_stale && f->former[s]) {
-			text = f->former[s];
+		if (sim->platform_stale && sim->previous_texts[s]) {
+			text = sim->previous_texts[s];
 			revision--;
 		}
 		if (!text)
 			continue;
-		spread_read(&h->spread, f->now, (config_sync_subject_t)(s + 1),
-			    revision, text, strlen(text));
-		judge(f, h, (config_sync_subject_t)(s + 1));
+		spread_read(&h->config_sync, sim->now,
+			    (config_sync_subject_t)(s + 1), revision, text,
+			    strlen(text));
+		apply_pending(sim, h, (config_sync_subject_t)(s + 1));
 	}
-	h->member.revision = spread_revision(&h->spread, CONFIG_SYNC_CONFIG);
-	h->member.hosts_revision =
-		spread_revision(&h->spread, CONFIG_SYNC_HOSTS);
+	h->membership.revision =
+		spread_revision(&h->config_sync, CONFIG_SYNC_CONFIG);
+	h->membership.hosts_revision =
+		spread_revision(&h->config_sync, CONFIG_SYNC_HOSTS);
 	/* A host cannot tell that the platform is stale. */
-	member_refreshed(&h->member, f->now, f->now);
+	member_refreshed(&h->membership, sim->now, sim->now);
 }
 
-static void tick(gossip_t *f, gossip_host_t *h)
+static void tick(gossip_sim_t *sim, gossip_sim_host_t *h)
 {
-	member_tick(&h->member, f->now);
-	spread_tick(&h->spread, f->now);
-	if (f->now >= h->read_at)
-		read_platform(f, h);
+	member_tick(&h->membership, sim->now);
+	spread_tick(&h->config_sync, sim->now);
+	if (sim->now >= h->next_read_at)
+		poll_platform(sim, h);
 }
 
-static void receive(gossip_t *f, gossip_host_t *h, pimento_id_t from,
+static void receive(gossip_sim_t *sim, gossip_sim_host_t *h, pimento_id_t from,
 		    const message_t *m)
 {
 	if (m->kind == MESSAGE_PROBE || m->kind == MESSAGE_ACK) {
-		member_receive(&h->member, f->now, from, m);
-		spread_heard(&h->spread, f->now, from, CONFIG_SYNC_CONFIG,
-			     m->u.probe.revision);
-		spread_heard(&h->spread, f->now, from, CONFIG_SYNC_HOSTS,
+		member_receive(&h->membership, sim->now, from, m);
+		spread_heard(&h->config_sync, sim->now, from,
+			     CONFIG_SYNC_CONFIG, m->u.probe.revision);
+		spread_heard(&h->config_sync, sim->now, from, CONFIG_SYNC_HOSTS,
 			     m->u.probe.hosts_revision);
 		return;
 	}
-	member_heard(&h->member, f->now, from);
-	spread_receive(&h->spread, f->now, from, m);
+	member_heard(&h->membership, sim->now, from);
+	spread_receive(&h->config_sync, sim->now, from, m);
 }
 
 /* What all others that it can reach serve under, when a host goes on. */
-static uint64_t floor_of(const gossip_t *f, const gossip_host_t *woken)
+static uint64_t min_revision_in_force(const gossip_sim_t *sim,
+				      const gossip_sim_host_t *woken)
 {
 	uint64_t floor = UINT64_MAX;
 
-	for (uint32_t i = 0; i < f->count; i++) {
-		const gossip_host_t *h = &f->hosts[i];
+	for (uint32_t i = 0; i < sim->count; i++) {
+		const gossip_sim_host_t *h = &sim->hosts[i];
 
-		if (h == woken || !h->up || h->side != woken->side)
+		if (h == woken || !h->up || h->partition != woken->partition)
 			continue;
-		if (f->now < h->paused_until ||
-		    !member_fresh(&h->member, f->now))
+		if (sim->now < h->paused_until ||
+		    !member_fresh(&h->membership, sim->now))
 			return 0;
 		if (h->revision < floor)
 			floor = h->revision;
@@ -254,158 +268,159 @@
 	return floor == UINT64_MAX ? 0 : floor;
 }
 
-static void wake(gossip_t *f, gossip_host_t *h)
+static void resume_host(gossip_sim_t *sim, gossip_sim_host_t *h)
 {
-	if (f->now - h->paused_at >= PAUSE_NOTICED)
-		h->wake_floor = floor_of(f, h);
+	if (sim->now - h->paused_at >= PAUSE_DETECTED_MIN)
+		h->wake_revision_min = min_revision_in_force(sim, h);
 	h->paused_at = 0;
 	h->paused_until = 0;
 }
 
-static void handle(gossip_t *f, gossip_event_t event)
+static void handle_event(gossip_sim_t *sim, gossip_sim_event_t event)
 {
-	gossip_host_t *h = &f->hosts[event.host];
+	gossip_sim_host_t *h = &sim->hosts[event.host];
 
-	if (h->up && f->now < h->paused_until) {
+	if (h->up && sim->now < h->paused_until) {
 		event.at = h->paused_until;
 		if (!event.message)
 			h->tick_at = event.at;
-		push(f, event);
+		push(sim, event);
 		return;
 	}
 	if (h->up && h->paused_until)
-		wake(f, h);
+		resume_host(sim, h);
 	if (h->up && event.message) {
-		receive(f, h, event.from, event.message);
-		settle(f, h);
+		receive(sim, h, event.from, event.message);
+		finish_step(sim, h);
 	} else if (h->up && event.at == h->tick_at) {
-		tick(f, h);
-		settle(f, h);
+		tick(sim, h);
+		finish_step(sim, h);
 	}
 	free(event.message);
 }
 
-void gossip_run(gossip_t *fleet, pimento_usec_t span)
+void gossip_sim_run(gossip_sim_t *sim, pimento_usec_t span)
 {
-	pimento_usec_t end = fleet->now + span;
+	pimento_usec_t end = sim->now + span;
 
-	while (fleet->heap_count && fleet->heap[0].at <= end) {
-		gossip_event_t event = pop(fleet);
+	while (sim->heap_count && sim->heap[0].at <= end) {
+		gossip_sim_event_t event = pop(sim);
 
-		fleet->now = event.at;
-		handle(fleet, event);
+		sim->now = event.at;
+		handle_event(sim, event);
 	}
-	fleet->now = end;
+	sim->now = end;
 }
 
-void gossip_init(gossip_t *fleet, uint32_t count, uint64_t seed)
+void gossip_sim_init(gossip_sim_t *sim, uint32_t count, uint64_t seed)
 {
-	memset(fleet, 0, sizeof(*fleet));
-	pimento_random_init(&fleet->random, seed);
-	fleet->count = count;
-	fleet->delay_min = 500;
-	fleet->delay_max = 1500;
-	fleet->hosts = calloc(count, sizeof(*fleet->hosts));
+	memset(sim, 0, sizeof(*sim));
+	pimento_random_init(&sim->random, seed);
+	sim->count = count;
+	sim->delay_min = 500;
+	sim->delay_max = 1500;
+	sim->hosts = calloc(count, sizeof(*sim->hosts));
 	for (uint32_t i = 0; i < count; i++) {
 		char name[16];
 
 		snprintf(name, sizeof(name), "host-%u", i);
-		fleet->hosts[i].id = pimento_id(name);
-		fleet->hosts[i].datacentre = (uint8_t)(i % 8);
+		sim->hosts[i].id = pimento_id(name);
+		sim->hosts[i].datacentre = (uint8_t)(i % 8);
 	}
 }
 
-void gossip_start(gossip_t *fleet, uint32_t host)
+void gossip_sim_start_host(gossip_sim_t *sim, uint32_t host)
 {
-	gossip_host_t *h = &fleet->hosts[host];
+	gossip_sim_host_t *h = &sim->hosts[host];
 	member_options_t member = { .self = h->id };
 	spread_options_t spread = { .self = h->id };
 
 	if (h->up)
 		return;
-	h->incarnation = pimento_random_next(&fleet->random);
+	h->incarnation = pimento_random_next(&sim->random);
 	member.incarnation = h->incarnation;
-	member.seed = pimento_random_next(&fleet->random);
-	spread.seed = pimento_random_next(&fleet->random);
-	outbox_init(&h->out, OUTBOX);
-	member_init(&h->member, &member, &h->out);
-	spread_init(&h->spread, &spread, &h->out);
+	member.seed = pimento_random_next(&sim->random);
+	spread.seed = pimento_random_next(&sim->random);
+	outbox_init(&h->out, OUTBOX_CAPACITY);
+	member_init(&h->membership, &member, &h->out);
+	spread_init(&h->config_sync, &spread, &h->out);
 	h->up = true;
 	h->revision = 0;
-	h->wake_floor = 0;
+	h->wake_revision_min = 0;
 	h->paused_at = 0;
 	h->paused_until = 0;
-	h->read_at = fleet->now;
+	h->next_read_at = sim->now;
 	h->tick_at = 0;
 	/* Its settings name two seeds. */
 	for (uint32_t i = 0; i < 2; i++)
-		member_meet(&h->member, fleet->now,
-			    fleet->hosts[(host + 1 + i) % fleet->count].id);
-	tick(fleet, h);
-	settle(fleet, h);
+		member_meet(&h->membership, sim->now,
+			    sim->hosts[(host + 1 + i) % sim->count].id);
+	tick(sim, h);
+	finish_step(sim, h);
 }
 
-void gossip_kill(gossip_t *fleet, uint32_t host)
+void gossip_sim_kill_host(gossip_sim_t *sim, uint32_t host)
 {
-	gossip_host_t *h = &fleet->hosts[host];
+	gossip_sim_host_t *h = &sim->hosts[host];
 
 	if (!h->up)
 		return;
 	h->up = false;
-	member_finish(&h->member);
-	spread_finish(&h->spread);
+	member_finish(&h->membership);
+	spread_finish(&h->config_sync);
 	outbox_finish(&h->out);
 }
 
-void gossip_pause(gossip_t *fleet, uint32_t host, pimento_usec_t span)
+void gossip_sim_pause_host(gossip_sim_t *sim, uint32_t host,
+			   pimento_usec_t span)
 {
-	gossip_host_t *h = &fleet->hosts[host];
+	gossip_sim_host_t *h = &sim->hosts[host];
 
 	if (!h->up || h->paused_until)
 		return;
-	h->paused_at = fleet->now;
-	h->paused_until = fleet->now + span;
+	h->paused_at = sim->now;
+	h->paused_until = sim->now + span;
 }
 
-void gossip_finish(gossip_t *fleet)
+void gossip_sim_finish(gossip_sim_t *sim)
 {
-	for (uint32_t i = 0; i < fleet->count; i++)
-		gossip_kill(fleet, i);
-	for (uint32_t i = 0; i < fleet->heap_count; i++)
-		free(fleet->heap[i].message);
+	for (uint32_t i = 0; i < sim->count; i++)
+		gossip_sim_kill_host(sim, i);
+	for (uint32_t i = 0; i < sim->heap_count; i++)
+		free(sim->heap[i].message);
 	for (unsigned int s = 0; s < 2; s++) {
-		free(fleet->texts[s]);
-		free(fleet->former[s]);
+		free(sim->texts[s]);
+		free(sim->previous_texts[s]);
 	}
-	free(fleet->heap);
-	free(fleet->hosts);
-	memset(fleet, 0, sizeof(*fleet));
+	free(sim->heap);
+	free(sim->hosts);
+	memset(sim, 0, sizeof(*sim));
 }
 
-void gossip_publish(gossip_t *fleet, config_sync_subject_t subject, char *text)
+void gossip_sim_publish(gossip_sim_t *sim, config_sync_subject_t subject,
+			char *text)
 {
 	unsigned int s = (unsigned int)subject - 1;
 
-	free(fleet->former[s]);
-	fleet->former[s] = fleet->texts[s];
-	fleet->texts[s] = text;
-	fleet->revisions[s]++;
+	free(sim->previous_texts[s]);
+	sim->previous_texts[s] = sim->texts[s];
+	sim->texts[s] = text;
+	sim->revisions[s]++;
 }
 
-void gossip_publish_hosts(gossip_t *fleet)
+void gossip_sim_publish_hosts(gossip_sim_t *sim)
 {
-	size_t capacity = (size_t)fleet->count * 160 + 64;
+	size_t capacity = (size_t)sim->count * 160 + 64;
 	char *text = malloc(capacity);
 	size_t n = (size_t)snprintf(
 		text, capacity, "{\"revision\": %llu, \"hosts\": [",
-		(unsigned long long)fleet->revisions[CONFIG_SYNC_HOSTS - 1] +
-			1);
+		(unsigned long long)sim->revisions[CONFIG_SYNC_HOSTS - 1] + 1);
 	const char *comma = "";
 
-	for (uint32_t i = 0; i < fleet->count; i++) {
-		gossip_host_t *h = &fleet->hosts[i];
-		bool leaving = h->up &&
-			       member_state(&h->member, h->id) == HOST_LEAVING;
+	for (uint32_t i = 0; i < sim->count; i++) {
+		gossip_sim_host_t *h = &sim->hosts[i];
+		bool leaving = h->up && member_state(&h->membership, h->id) ==
+						HOST_LEAVING;
 
 		if (!h->up)
 			continue;
@@ -419,12 +434,12 @@
 		comma = ",";
 	}
 	snprintf(text + n, capacity - n, "]}\n");
-	gossip_publish(fleet, CONFIG_SYNC_HOSTS, text);
+	gossip_sim_publish(sim, CONFIG_SYNC_HOSTS, text);
 }
 
-char *gossip_config(gossip_t *fleet, size_t size)
+char *gossip_sim_make_config(gossip_sim_t *sim, size_t size)
 {
-	uint64_t revision = fleet->revisions[CONFIG_SYNC_CONFIG - 1] + 1;
+	uint64_t revision = sim->revisions[CONFIG_SYNC_CONFIG - 1] + 1;
 	char *text = malloc(size + 128);
 	size_t n = 0;
 
@@ -438,69 +453,72 @@
 	return text;
 }
 
-uint32_t gossip_up(const gossip_t *fleet)
+uint32_t gossip_sim_count_up(const gossip_sim_t *sim)
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < fleet->count; i++)
-		n += fleet->hosts[i].up;
+	for (uint32_t i = 0; i < sim->count; i++)
+		n += sim->hosts[i].up;
 	return n;
 }
 
-uint32_t gossip_in_force(const gossip_t *fleet, config_sync_subject_t subject)
+uint32_t gossip_sim_count_in_force(const gossip_sim_t *sim,
+				   config_sync_subject_t subject)
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < fleet->count; i++) {
-		const gossip_host_t *h = &fleet->hosts[i];
+	for (uint32_t i = 0; i < sim->count; i++) {
+		const gossip_sim_host_t *h = &sim->hosts[i];
 
-		if (h->up && spread_revision(&h->spread, subject) ==
-				     fleet->revisions[subject - 1])
+		if (h->up && spread_revision(&h->config_sync, subject) ==
+				     sim->revisions[subject - 1])
 			n++;
 	}
 	return n;
 }
 
-uint32_t gossip_misjudged(const gossip_t *fleet)
+uint32_t gossip_sim_count_wrong_states(const gossip_sim_t *sim)
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < fleet->count; i++) {
-		for (uint32_t j = 0; j < fleet->count; j++) {
-			const gossip_host_t *a = &fleet->hosts[i];
-			const gossip_host_t *b = &fleet->hosts[j];
+	for (uint32_t i = 0; i < sim->count; i++) {
+		for (uint32_t j = 0; j < sim->count; j++) {
+			const gossip_sim_host_t *a = &sim->hosts[i];
+			const gossip_sim_host_t *b = &sim->hosts[j];
 			host_state_t state;
 
 			if (!a->up)
 				continue;
-			state = member_state(&a->member, b->id);
+			state = member_state(&a->membership, b->id);
 			if (!b->up)
 				n += state != HOST_DEAD &&
 				     state != HOST_UNKNOWN;
 			else
-				n += state != member_state(&b->member, b->id);
+				n += state !=
+				     member_state(&b->membership, b->id);
 		}
 	}
 	return n;
 }
 
-uint32_t gossip_unaware(const gossip_t *fleet, uint32_t dead)
+uint32_t gossip_sim_count_undetected(const gossip_sim_t *sim, uint32_t dead)
 {
 	uint32_t n = 0;
 
-	for (uint32_t i = 0; i < fleet->count; i++) {
-		const gossip_host_t *h = &fleet->hosts[i];
+	for (uint32_t i = 0; i < sim->count; i++) {
+		const gossip_sim_host_t *h = &sim->hosts[i];
 		host_state_t state;
 
 		if (!h->up)
 			continue;
-		state = member_state(&h->member, fleet->hosts[dead].id);
+		state = member_state(&h->membership, sim->hosts[dead].id);
 		n += state == HOST_LIVE || state == HOST_SUSPECT;
 	}
 	return n;
 }
 
-uint32_t gossip_disputed_owners(const gossip_t *fleet, uint32_t endpoints)
+uint32_t gossip_sim_count_disputed_owners(const gossip_sim_t *sim,
+					  uint32_t endpoints)
 {
 	uint32_t n = 0;
 
@@ -508,12 +526,12 @@
 		pimento_id_t owner = 0;
 		bool first = true;
 
-		for (uint32_t i = 0; i < fleet->count; i++) {
+		for (uint32_t i = 0; i < sim->count; i++) {
 			pimento_id_t o;
 
-			if (!fleet->hosts[i].up)
+			if (!sim->hosts[i].up)
 				continue;
-			o = member_owner(&fleet->hosts[i].member, e);
+			o = member_owner(&sim->hosts[i].membership, e);
 			if (!first && o != owner) {
 				n++;
 				break;
--- a/test/test_base.c
+++ b/test/test_base.c
@@ -13,7 +13,7 @@
 	const char *text;
 } error_cases[] = {
 	{ 0, "success" },
-	{ PIMENTO_ELATE, "cannot finish before its deadline" },
+	{ PIMENTO_EDEADLINE, "cannot finish before its deadline" },
 	{ PIMENTO_EDUPLICATE, "repeated" },
 	{ -1000, "unknown error" },
 	{ 1, "unknown error" },
--- a/test/test_burn.c
+++ b/test/test_burn.c
@@ -99,7 +99,7 @@
 	int error;
 	bool counts;
 } refusals[] = {
-	{ PIMENTO_ELATE, true },	{ PIMENTO_EBUSY, true },
+	{ PIMENTO_EDEADLINE, true },	{ PIMENTO_EBUSY, true },
 	{ PIMENTO_EENDPOINT, true },	{ PIMENTO_ENOQUORUM, true },
 	{ PIMENTO_EUNREACHABLE, true }, { PIMENTO_ECANCELLED, false },
 	{ PIMENTO_EMISMATCH, false },	{ PIMENTO_ENOTFOUND, false },
--- a/test/test_gossip.c
+++ b/test/test_gossip.c
@@ -10,36 +10,36 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define RUNS 40
-#define ACTIONS 40
-#define QUIET (90 * PIMENTO_SEC)
+#define RUNS_DEFAULT 40
+#define FAULTS_PER_RUN 40
+#define RECOVERY_SPAN (90 * PIMENTO_SEC)
 #define ENDPOINTS 200
 
-/* What each host was seen to hold of each other's leaving. */
-typedef struct seen {
+/* What each host was observed to hold of each other's leaving. */
+typedef struct observed {
 	uint64_t observer;
 	uint64_t incarnation;
 	bool leaving;
-} seen_t;
+} observation_t;
 
-static void check_leaving(gossip_t *f, seen_t *seen)
+static void check_leaving(gossip_sim_t *sim, observation_t *observed)
 {
-	for (uint32_t i = 0; i < f->count; i++) {
-		for (uint32_t j = 0; j < f->count; j++) {
-			seen_t *s = &seen[i * f->count + j];
-			const gossip_host_t *h = &f->hosts[i];
-			pimento_id_t id = f->hosts[j].id;
+	for (uint32_t i = 0; i < sim->count; i++) {
+		for (uint32_t j = 0; j < sim->count; j++) {
+			observation_t *s = &observed[i * sim->count + j];
+			const gossip_sim_host_t *h = &sim->hosts[i];
+			pimento_id_t id = sim->hosts[j].id;
 			host_state_t state;
 			uint64_t incarnation;
 
 			if (!h->up)
 				continue;
-			state = member_state(&h->member, id);
-			incarnation = member_incarnation(&h->member, id);
+			state = member_state(&h->membership, id);
+			incarnation = member_incarnation(&h->membership, id);
 			if (s->leaving && s->observer == h->incarnation &&
 			    s->incarnation == incarnation &&
 			    (state == HOST_LIVE || state == HOST_SUSPECT)) {
-				f->problems++;
+				sim->violations++;
 				fprintf(stderr, "host %u: %u left, no more\n",
 					i, j);
 			}
@@ -52,115 +52,125 @@
 	}
 }
 
-static void act(gossip_t *f)
+static void inject_fault(gossip_sim_t *sim)
 {
-	uint32_t host = (uint32_t)pimento_random_below(&f->random, f->count);
-	gossip_host_t *h = &f->hosts[host];
-	uint64_t n = pimento_random_below(&f->random, 16);
+	uint32_t host =
+		(uint32_t)pimento_random_below(&sim->random, sim->count);
+	gossip_sim_host_t *h = &sim->hosts[host];
+	uint64_t n = pimento_random_below(&sim->random, 16);
 
 	switch (n) {
 	case 0:
-		gossip_kill(f, host);
+		gossip_sim_kill_host(sim, host);
 		break;
 	case 1:
 	case 2:
-		gossip_kill(f, host);
-		gossip_start(f, host);
+		gossip_sim_kill_host(sim, host);
+		gossip_sim_start_host(sim, host);
 		break;
 	case 3:
-		gossip_start(f, host);
+		gossip_sim_start_host(sim, host);
 		break;
 	case 4:
 	case 5:
-		gossip_pause(f, host,
-			     (pimento_usec_t)pimento_random_below(
-				     &f->random, 20 * PIMENTO_SEC));
+		gossip_sim_pause_host(sim, host,
+				      (pimento_usec_t)pimento_random_below(
+					      &sim->random, 20 * PIMENTO_SEC));
 		break;
 	case 6:
-		h->side = !h->side;
+		h->partition = !h->partition;
 		break;
 	case 7:
-		for (uint32_t i = 0; i < f->count; i++)
-			f->hosts[i].side =
-				(uint8_t)pimento_random_below(&f->random, 2);
+		for (uint32_t i = 0; i < sim->count; i++)
+			sim->hosts[i].partition =
+				(uint8_t)pimento_random_below(&sim->random, 2);
 		break;
 	case 8:
-		for (uint32_t i = 0; i < f->count; i++)
-			f->hosts[i].side = 0;
+		for (uint32_t i = 0; i < sim->count; i++)
+			sim->hosts[i].partition = 0;
 		break;
 	case 9:
 		if (h->up && !h->paused_until)
-			member_leave(&h->member, f->now);
+			member_leave(&h->membership, sim->now);
 		break;
 	case 10:
 	case 11:
 	case 12:
-		gossip_publish(f, CONFIG_SYNC_CONFIG, gossip_config(f, 3000));
+		gossip_sim_publish(sim, CONFIG_SYNC_CONFIG,
+				   gossip_sim_make_config(sim, 3000));
 		break;
 	case 13:
-		gossip_publish_hosts(f);
+		gossip_sim_publish_hosts(sim);
 		break;
 	case 14:
-		f->platform_down = !f->platform_down;
+		sim->platform_down = !sim->platform_down;
 		break;
 	default:
-		f->platform_stale = !f->platform_stale;
+		sim->platform_stale = !sim->platform_stale;
 		break;
 	}
 }
 
-static void heal(gossip_t *f)
+static void heal(gossip_sim_t *sim)
 {
-	f->loss = 0;
-	f->straggle = 0;
-	f->platform_down = false;
-	f->platform_stale = false;
-	for (uint32_t i = 0; i < f->count; i++)
-		f->hosts[i].side = 0;
-	gossip_start(f, 0);
-	gossip_publish_hosts(f);
-	gossip_run(f, QUIET);
+	sim->loss = 0;
+	sim->slow_message_chance = 0;
+	sim->platform_down = false;
+	sim->platform_stale = false;
+	for (uint32_t i = 0; i < sim->count; i++)
+		sim->hosts[i].partition = 0;
+	gossip_sim_start_host(sim, 0);
+	gossip_sim_publish_hosts(sim);
+	gossip_sim_run(sim, RECOVERY_SPAN);
 }
 
 static void run_seed(uint64_t seed, uint32_t count)
 {
-	gossip_t f;
-	seen_t *seen = calloc((size_t)count * count, sizeof(*seen));
+	gossip_sim_t sim;
+	observation_t *observed =
+		calloc((size_t)count * count, sizeof(*observed));
 
-	gossip_init(&f, count, seed);
-	f.loss = pimento_random_unit(&f.random) * 0.2;
-	f.delay_max = 5 * PIMENTO_MSEC;
-	f.straggle = 0.01;
-	gossip_publish(&f, CONFIG_SYNC_CONFIG, gossip_config(&f, 3000));
-	gossip_publish_hosts(&f);
+	gossip_sim_init(&sim, count, seed);
+	sim.loss = pimento_random_unit(&sim.random) * 0.2;
+	sim.delay_max = 5 * PIMENTO_MSEC;
+	sim.slow_message_chance = 0.01;
+	gossip_sim_publish(&sim, CONFIG_SYNC_CONFIG,
+			   gossip_sim_make_config(&sim, 3000));
+	gossip_sim_publish_hosts(&sim);
 	for (uint32_t i = 0; i < count; i++)
-		gossip_start(&f, i);
-	for (uint32_t i = 0; i < ACTIONS; i++) {
+		gossip_sim_start_host(&sim, i);
+	for (uint32_t i = 0; i < FAULTS_PER_RUN; i++) {
 		for (uint32_t j = 0; j < 4; j++) {
-			gossip_run(&f, (pimento_usec_t)pimento_random_below(
-					       &f.random, PIMENTO_SEC));
-			check_leaving(&f, seen);
+			gossip_sim_run(&sim,
+				       (pimento_usec_t)pimento_random_below(
+					       &sim.random, PIMENTO_SEC));
+			check_leaving(&sim, observed);
 		}
-		act(&f);
+		inject_fault(&sim);
 	}
-	heal(&f);
-	check_leaving(&f, seen);
-	ck_assert_msg(!f.problems, "seed %llu: %llu problems",
-		      (unsigned long long)seed, (unsigned long long)f.problems);
-	ck_assert_msg(!gossip_misjudged(&f),
+	heal(&sim);
+	check_leaving(&sim, observed);
+	ck_assert_msg(!sim.violations, "seed %llu: %llu problems",
+		      (unsigned long long)seed,
+		      (unsigned long long)sim.violations);
+	ck_assert_msg(!gossip_sim_count_wrong_states(&sim),
 		      "seed %llu, %u hosts: %u misjudged",
-		      (unsigned long long)seed, count, gossip_misjudged(&f));
-	ck_assert_msg(!gossip_disputed_owners(&f, ENDPOINTS),
+		      (unsigned long long)seed, count,
+		      gossip_sim_count_wrong_states(&sim));
+	ck_assert_msg(!gossip_sim_count_disputed_owners(&sim, ENDPOINTS),
 		      "seed %llu: owners disputed", (unsigned long long)seed);
 	ck_assert_msg(
-		gossip_in_force(&f, CONFIG_SYNC_CONFIG) == gossip_up(&f) &&
-			gossip_in_force(&f, CONFIG_SYNC_HOSTS) == gossip_up(&f),
+		gossip_sim_count_in_force(&sim, CONFIG_SYNC_CONFIG) ==
+				gossip_sim_count_up(&sim) &&
+			gossip_sim_count_in_force(&sim, CONFIG_SYNC_HOSTS) ==
+				gossip_sim_count_up(&sim),
 		"seed %llu: in force at %u and %u of %u",
 		(unsigned long long)seed,
-		gossip_in_force(&f, CONFIG_SYNC_CONFIG),
-		gossip_in_force(&f, CONFIG_SYNC_HOSTS), gossip_up(&f));
-	gossip_finish(&f);
-	free(seen);
+		gossip_sim_count_in_force(&sim, CONFIG_SYNC_CONFIG),
+		gossip_sim_count_in_force(&sim, CONFIG_SYNC_HOSTS),
+		gossip_sim_count_up(&sim));
+	gossip_sim_finish(&sim);
+	free(observed);
 }
 
 /*
@@ -169,7 +179,7 @@
  * leave lasting marks, some endpoint would have two owners or none for good,
  * or a host would go on serving under a configuration that was withdrawn.
  */
-START_TEST(gossip_agrees_after_any_faults)
+START_TEST(state_converges_after_random_faults)
 {
 	const char *seed = getenv("GOSSIP_SEED");
 	uint64_t base = seed ? strtoull(seed, NULL, 10) : 1;
@@ -180,32 +190,35 @@
 }
 END_TEST
 
-static void quiet_fleet(gossip_t *f, uint32_t count)
+static void start_healthy_hosts(gossip_sim_t *sim, uint32_t count)
 {
-	gossip_init(f, count, 5);
-	gossip_publish(f, CONFIG_SYNC_CONFIG, gossip_config(f, 20000));
-	gossip_publish_hosts(f);
+	gossip_sim_init(sim, count, 5);
+	gossip_sim_publish(sim, CONFIG_SYNC_CONFIG,
+			   gossip_sim_make_config(sim, 20000));
+	gossip_sim_publish_hosts(sim);
 	for (uint32_t i = 0; i < count; i++)
-		gossip_start(f, i);
-	gossip_publish_hosts(f);
-	gossip_run(f, 20 * PIMENTO_SEC);
-	ck_assert_uint_eq(gossip_misjudged(f), 0);
+		gossip_sim_start_host(sim, i);
+	gossip_sim_publish_hosts(sim);
+	gossip_sim_run(sim, 20 * PIMENTO_SEC);
+	ck_assert_uint_eq(gossip_sim_count_wrong_states(sim), 0);
 }
 
-/* Span until the check counts zero, or the limit. */
-static pimento_usec_t until(gossip_t *f, uint32_t (*count)(const gossip_t *),
-			    pimento_usec_t limit)
+/* Span time_until_zero the check counts zero, or the limit. */
+static pimento_usec_t time_until_zero(gossip_sim_t *sim,
+				      uint32_t (*count)(const gossip_sim_t *),
+				      pimento_usec_t limit)
 {
-	pimento_usec_t start = f->now;
+	pimento_usec_t start = sim->now;
 
-	while (f->now - start < limit && count(f))
-		gossip_run(f, 50 * PIMENTO_MSEC);
-	return f->now - start;
+	while (sim->now - start < limit && count(sim))
+		gossip_sim_run(sim, 50 * PIMENTO_MSEC);
+	return sim->now - start;
 }
 
-static uint32_t not_in_force(const gossip_t *f)
+static uint32_t not_in_force(const gossip_sim_t *sim)
 {
-	return gossip_up(f) - gossip_in_force(f, CONFIG_SYNC_CONFIG);
+	return gossip_sim_count_up(sim) -
+	       gossip_sim_count_in_force(sim, CONFIG_SYNC_CONFIG);
 }
 
 /*
@@ -213,23 +226,24 @@
  * that are held dead and never asked again would stay dead after the cut, and
  * every endpoint would go on having two owners.
  */
-START_TEST(cut_heals)
+START_TEST(state_converges_after_partition)
 {
-	gossip_t f;
+	gossip_sim_t sim;
 
-	quiet_fleet(&f, 12);
+	start_healthy_hosts(&sim, 12);
 	for (uint32_t i = 0; i < 6; i++)
-		f.hosts[i].side = 1;
-	gossip_run(&f, 60 * PIMENTO_SEC);
-	ck_assert_uint_eq(member_live(&f.hosts[0].member, NULL, 0), 6);
-	ck_assert_uint_eq(member_live(&f.hosts[11].member, NULL, 0), 6);
-	ck_assert_double_eq(member_share(&f.hosts[0].member), 0.5);
+		sim.hosts[i].partition = 1;
+	gossip_sim_run(&sim, 60 * PIMENTO_SEC);
+	ck_assert_uint_eq(member_live(&sim.hosts[0].membership, NULL, 0), 6);
+	ck_assert_uint_eq(member_live(&sim.hosts[11].membership, NULL, 0), 6);
+	ck_assert_double_eq(member_share(&sim.hosts[0].membership), 0.5);
 	for (uint32_t i = 0; i < 6; i++)
-		f.hosts[i].side = 0;
-	ck_assert_int_lt(until(&f, gossip_misjudged, 60 * PIMENTO_SEC),
+		sim.hosts[i].partition = 0;
+	ck_assert_int_lt(time_until_zero(&sim, gossip_sim_count_wrong_states,
+					 60 * PIMENTO_SEC),
 			 6 * PIMENTO_SEC);
-	ck_assert_uint_eq(gossip_disputed_owners(&f, ENDPOINTS), 0);
-	gossip_finish(&f);
+	ck_assert_uint_eq(gossip_sim_count_disputed_owners(&sim, ENDPOINTS), 0);
+	gossip_sim_finish(&sim);
 }
 END_TEST
 
@@ -237,17 +251,18 @@
  * A host dies without a word. Until the others know, requests that reserve
  * with it wait in vain.
  */
-START_TEST(dead_host_is_known_within_seconds)
+START_TEST(dead_host_is_detected_within_seconds)
 {
 	static const uint32_t sizes[] = { 3, 8, 50 };
 	static const int limits[] = { 4, 4, 7 };
-	gossip_t f;
+	gossip_sim_t sim;
 
-	quiet_fleet(&f, sizes[_i]);
-	gossip_kill(&f, 1);
-	ck_assert_int_lt(until(&f, gossip_misjudged, 60 * PIMENTO_SEC),
+	start_healthy_hosts(&sim, sizes[_i]);
+	gossip_sim_kill_host(&sim, 1);
+	ck_assert_int_lt(time_until_zero(&sim, gossip_sim_count_wrong_states,
+					 60 * PIMENTO_SEC),
 			 limits[_i] * PIMENTO_SEC);
-	gossip_finish(&f);
+	gossip_sim_finish(&sim);
 }
 END_TEST
 
@@ -256,25 +271,27 @@
  * fills every message, a host dies. Were its death to wait its turn behind the
  * rest, requests would go on waiting with the dead host for half a minute.
  */
-START_TEST(death_is_told_before_older_news)
+START_TEST(death_is_gossiped_before_older_updates)
 {
 	pimento_usec_t start;
-	gossip_t f;
+	gossip_sim_t sim;
 
-	gossip_init(&f, 200, 5);
-	gossip_publish(&f, CONFIG_SYNC_CONFIG, gossip_config(&f, 2000));
-	gossip_publish_hosts(&f);
+	gossip_sim_init(&sim, 200, 5);
+	gossip_sim_publish(&sim, CONFIG_SYNC_CONFIG,
+			   gossip_sim_make_config(&sim, 2000));
+	gossip_sim_publish_hosts(&sim);
 	for (uint32_t i = 0; i < 200; i++)
-		gossip_start(&f, i);
-	gossip_publish_hosts(&f);
-	gossip_run(&f, 5 * PIMENTO_SEC);
-	gossip_kill(&f, 1);
-	start = f.now;
-	while (gossip_unaware(&f, 1) && f.now - start < 60 * PIMENTO_SEC)
-		gossip_run(&f, 100 * PIMENTO_MSEC);
-	printf("gossip: known after %d ms\n", (int)((f.now - start) / 1000));
-	ck_assert_int_lt(f.now - start, 8 * PIMENTO_SEC);
-	gossip_finish(&f);
+		gossip_sim_start_host(&sim, i);
+	gossip_sim_publish_hosts(&sim);
+	gossip_sim_run(&sim, 5 * PIMENTO_SEC);
+	gossip_sim_kill_host(&sim, 1);
+	start = sim.now;
+	while (gossip_sim_count_undetected(&sim, 1) &&
+	       sim.now - start < 60 * PIMENTO_SEC)
+		gossip_sim_run(&sim, 100 * PIMENTO_MSEC);
+	printf("gossip: known after %d ms\n", (int)((sim.now - start) / 1000));
+	ck_assert_int_lt(sim.now - start, 8 * PIMENTO_SEC);
+	gossip_sim_finish(&sim);
 }
 END_TEST
 
@@ -283,20 +300,21 @@
  * two peers from its settings and has to learn the rest from them, or the
  * fleet melts away over a night.
  */
-START_TEST(host_starts_with_the_platform_down)
+START_TEST(host_joins_while_platform_is_down)
 {
-	gossip_t f;
+	gossip_sim_t sim;
 
-	quiet_fleet(&f, 8);
-	f.platform_down = true;
-	gossip_kill(&f, 3);
-	gossip_run(&f, 10 * PIMENTO_SEC);
-	gossip_start(&f, 3);
-	ck_assert_int_lt(until(&f, not_in_force, 60 * PIMENTO_SEC),
+	start_healthy_hosts(&sim, 8);
+	sim.platform_down = true;
+	gossip_sim_kill_host(&sim, 3);
+	gossip_sim_run(&sim, 10 * PIMENTO_SEC);
+	gossip_sim_start_host(&sim, 3);
+	ck_assert_int_lt(time_until_zero(&sim, not_in_force, 60 * PIMENTO_SEC),
 			 2 * PIMENTO_SEC);
-	ck_assert_int_lt(until(&f, gossip_misjudged, 60 * PIMENTO_SEC),
+	ck_assert_int_lt(time_until_zero(&sim, gossip_sim_count_wrong_states,
+					 60 * PIMENTO_SEC),
 			 6 * PIMENTO_SEC);
-	gossip_finish(&f);
+	gossip_sim_finish(&sim);
 }
 END_TEST
 
@@ -305,22 +323,23 @@
  * cost more than a retry, one caller would be served by old rules and the next
  * by new ones for a long while.
  */
-START_TEST(configuration_is_in_force_within_seconds)
+START_TEST(config_propagates_within_seconds)
 {
 	static const uint32_t sizes[] = { 3, 8, 50 };
-	gossip_t f;
+	gossip_sim_t sim;
 
-	quiet_fleet(&f, sizes[_i]);
-	f.loss = 0.05;
+	start_healthy_hosts(&sim, sizes[_i]);
+	sim.loss = 0.05;
 	for (uint32_t i = 0; i < 20; i++) {
-		gossip_publish(&f, CONFIG_SYNC_CONFIG,
-			       gossip_config(&f, 20000));
-		ck_assert_int_lt(until(&f, not_in_force, 60 * PIMENTO_SEC),
-				 3 * PIMENTO_SEC);
-		gossip_run(&f, PIMENTO_SEC);
+		gossip_sim_publish(&sim, CONFIG_SYNC_CONFIG,
+				   gossip_sim_make_config(&sim, 20000));
+		ck_assert_int_lt(
+			time_until_zero(&sim, not_in_force, 60 * PIMENTO_SEC),
+			3 * PIMENTO_SEC);
+		gossip_sim_run(&sim, PIMENTO_SEC);
 	}
-	ck_assert_uint_eq(f.problems, 0);
-	gossip_finish(&f);
+	ck_assert_uint_eq(sim.violations, 0);
+	gossip_sim_finish(&sim);
 }
 END_TEST
 
@@ -333,13 +352,13 @@
 	int failed;
 
 	tcase_set_timeout(tc, 120);
-	tcase_add_test(tc, cut_heals);
-	tcase_add_loop_test(tc, dead_host_is_known_within_seconds, 0, 3);
-	tcase_add_test(tc, death_is_told_before_older_news);
-	tcase_add_test(tc, host_starts_with_the_platform_down);
-	tcase_add_loop_test(tc, configuration_is_in_force_within_seconds, 0, 3);
-	tcase_add_loop_test(tc, gossip_agrees_after_any_faults, 0,
-			    runs ? atoi(runs) : RUNS);
+	tcase_add_test(tc, state_converges_after_partition);
+	tcase_add_loop_test(tc, dead_host_is_detected_within_seconds, 0, 3);
+	tcase_add_test(tc, death_is_gossiped_before_older_updates);
+	tcase_add_test(tc, host_joins_while_platform_is_down);
+	tcase_add_loop_test(tc, config_propagates_within_seconds, 0, 3);
+	tcase_add_loop_test(tc, state_converges_after_random_faults, 0,
+			    runs ? atoi(runs) : RUNS_DEFAULT);
 	suite_add_tcase(suite, tc);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_host_random.c
+++ b/test/test_host_random.c
@@ -1,8 +1,8 @@
 /*
  * Whole hosts under random faults, in virtual time. Each seed is one schedule
- * of messages lost, doubled, late and out of order, hosts killed, paused and
- * cut off, connections refused and broken, callers who leave. What must hold
- * is checked at every step by world.c.
+ * of messages lost, duplicated, late and out of order, hosts killed, paused and
+ * partition off, connections refused and broken, callers who leave. What must hold
+ * is checked at every step by netsim.c.
  *
  *	SEED=n build/test/test_host_random	repeats one schedule
  *	SEEDS=n build/test/test_host_random	runs n of each kind
@@ -16,55 +16,58 @@
 #include <stdlib.h>
 
 #define SEEDS_DEFAULT 60
-#define SPAN (20 * PIMENTO_SEC)
+#define FAULT_SPAN (20 * PIMENTO_SEC)
 
 static const struct {
 	const char *name;
-	double keyed;
-	world_faults_t faults;
-} kinds[] = {
+	double keyed_share;
+	netsim_faults_t faults;
+} scenarios[] = {
 	{ "calm", 0.3, { .loss = 0 } },
 	{ "lossy links",
 	  0.5,
-	  { .loss = 0.1, .doubling = 0.1, .delay_max = 2 * PIMENTO_SEC } },
+	  { .loss = 0.1, .duplication = 0.1, .delay_max = 2 * PIMENTO_SEC } },
 	{ "hosts killed", 0.5, { .crash = 0.05, .loss = 0.01 } },
-	{ "hosts paused", 0.5, { .pause = 0.08, .broken = 0.05 } },
-	{ "fleet cut", 0.5, { .cut = 0.3, .loss = 0.01 } },
-	{ "endpoints fail", 0.4, { .refused = 0.2, .broken = 0.2 } },
-	{ "callers leave", 0.5, { .leave = 0.3, .broken = 0.1 } },
+	{ "hosts paused", 0.5, { .pause = 0.08, .disconnect = 0.05 } },
+	{ "fleet cut", 0.5, { .partition = 0.3, .loss = 0.01 } },
+	{ "endpoints fail",
+	  0.4,
+	  { .connect_refused = 0.2, .disconnect = 0.2 } },
+	{ "callers leave", 0.5, { .caller_leave = 0.3, .disconnect = 0.1 } },
 	{ "all together",
 	  0.6,
 	  { .loss = 0.05,
-	    .doubling = 0.05,
+	    .duplication = 0.05,
 	    .delay_max = 3 * PIMENTO_SEC,
-	    .refused = 0.05,
-	    .broken = 0.1,
+	    .connect_refused = 0.05,
+	    .disconnect = 0.1,
 	    .crash = 0.02,
 	    .pause = 0.03,
-	    .cut = 0.1,
-	    .leave = 0.1 } },
+	    .partition = 0.1,
+	    .caller_leave = 0.1 } },
 };
 
-#define KINDS (sizeof(kinds) / sizeof(kinds[0]))
+#define SCENARIOS (sizeof(scenarios) / sizeof(scenarios[0]))
 
-static void add(world_counts_t *to, const world_counts_t *from)
+static void add_counts(netsim_counts_t *to, const netsim_counts_t *from)
 {
 	to->steps += from->steps;
 	to->messages += from->messages;
 	to->lost += from->lost;
-	to->doubled += from->doubled;
+	to->duplicated += from->duplicated;
 	to->crashes += from->crashes;
 	to->pauses += from->pauses;
-	to->cuts += from->cuts;
+	to->partitions += from->partitions;
 	to->submitted += from->submitted;
 	to->commits += from->commits;
 	to->replayed += from->replayed;
-	to->followed += from->followed;
+	to->resumed += from->resumed;
 	for (int i = 0; i < 3; i++)
 		to->refused[i] += from->refused[i];
 }
 
-static void print(const char *name, uint64_t seeds, const world_counts_t *c)
+static void print_counts(const char *name, uint64_t seeds,
+			 const netsim_counts_t *c)
 {
 	printf("%-15s %" PRIu64 " schedules, %" PRIu64 " requests, %" PRIu64
 	       " dispatched, refused %" PRIu64 " not run %" PRIu64
@@ -73,38 +76,39 @@
 	       " doubled %" PRIu64 " killed %" PRIu64 " paused %" PRIu64
 	       " cut\n",
 	       name, seeds, c->submitted, c->commits, c->refused[0],
-	       c->refused[1], c->refused[2], c->replayed, c->followed, c->lost,
-	       c->doubled, c->crashes, c->pauses, c->cuts);
+	       c->refused[1], c->refused[2], c->replayed, c->resumed, c->lost,
+	       c->duplicated, c->crashes, c->pauses, c->partitions);
 }
 
-static void run_seed(size_t kind, uint64_t seed, world_counts_t *total)
+static void run_seed(size_t kind, uint64_t seed, netsim_counts_t *total)
 {
-	world_t *world =
-		world_new(seed, &kinds[kind].faults, kinds[kind].keyed);
+	netsim_t *netsim = netsim_new(seed, &scenarios[kind].faults,
+				      scenarios[kind].keyed_share);
 	char broken[256] = "";
 
-	ck_assert_ptr_nonnull(world);
-	world_run(world, SPAN);
-	add(total, world_counts(world));
-	if (world_broken(world))
-		snprintf(broken, sizeof(broken), "%s", world_broken(world));
-	world_free(world);
+	ck_assert_ptr_nonnull(netsim);
+	netsim_run(netsim, FAULT_SPAN);
+	add_counts(total, netsim_counts(netsim));
+	if (netsim_violation(netsim))
+		snprintf(broken, sizeof(broken), "%s",
+			 netsim_violation(netsim));
+	netsim_free(netsim);
 	ck_assert_msg(!*broken, "%s: %s; SEED=%" PRIu64 " KIND=%zu repeats it",
-		      kinds[kind].name, broken, seed, kind);
+		      scenarios[kind].name, broken, seed, kind);
 }
 
 /*
  * A parent's charge is retried through another entry host while the first one
- * is dead, paused or cut off; the parent would see the money taken twice, or
+ * is dead, paused or partition off; the parent would see the money taken twice, or
  * be told "not run" of a charge that was taken.
  */
-START_TEST(promises_hold)
+START_TEST(no_duplicate_or_misreported_dispatch_under_faults)
 {
 	const char *one = getenv("SEED");
 	const char *kind = getenv("KIND");
 	const char *many = getenv("SEEDS");
 	uint64_t seeds = many ? strtoull(many, NULL, 10) : SEEDS_DEFAULT;
-	world_counts_t total = { 0 };
+	netsim_counts_t total = { 0 };
 
 	if (kind && strtoull(kind, NULL, 10) != (unsigned)_i)
 		return;
@@ -114,7 +118,7 @@
 	}
 	for (uint64_t seed = 1; seed <= seeds; seed++)
 		run_seed((size_t)_i, seed, &total);
-	print(kinds[_i].name, seeds, &total);
+	print_counts(scenarios[_i].name, seeds, &total);
 	ck_assert_uint_gt(total.commits, 0);
 }
 END_TEST
@@ -127,7 +131,9 @@
 	int failed;
 
 	tcase_set_timeout(tc, 300);
-	tcase_add_loop_test(tc, promises_hold, 0, KINDS);
+	tcase_add_loop_test(tc,
+			    no_duplicate_or_misreported_dispatch_under_faults,
+			    0, SCENARIOS);
 	suite_add_tcase(suite, tc);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_owner.c
+++ b/test/test_owner.c
@@ -79,8 +79,8 @@
 	ck_assert_int_eq(owner_receive(&owner, now, ENTRY, &m), 0);
 }
 
-/* Takes the next_message message; the request's number, and the kind in *kind. */
-static uint64_t next_message(message_kind_t *kind, int *reason)
+/* Takes the next_outgoing_message message; the request's number, and the kind in *kind. */
+static uint64_t next_outgoing_message(message_kind_t *kind, int *reason)
 {
 	pimento_id_t to;
 	message_t m;
@@ -102,7 +102,7 @@
 {
 	message_kind_t got;
 	int why = 0;
-	uint64_t number = next_message(&got, &why);
+	uint64_t number = next_outgoing_message(&got, &why);
 
 	ck_assert_str_eq(message_kind_name(got), message_kind_name(kind));
 	ck_assert_uint_eq(number, n);
@@ -240,7 +240,7 @@
 {
 	learn_rates();
 	reserve_of(1, 1, 0, ACCOUNT_LARGE, 10 * PIMENTO_MSEC, 0, 0);
-	expect_message(MESSAGE_REFUSE, 1, PIMENTO_ELATE);
+	expect_message(MESSAGE_REFUSE, 1, PIMENTO_EDEADLINE);
 }
 END_TEST
 
@@ -256,7 +256,7 @@
 	expect_message(MESSAGE_WAIT, 10, 0);
 	ck_assert_int_lt(owner_deadline(&owner), 4 * PIMENTO_SEC);
 	owner_tick(&owner, owner_deadline(&owner));
-	expect_message(MESSAGE_REFUSE, 10, PIMENTO_ELATE);
+	expect_message(MESSAGE_REFUSE, 10, PIMENTO_EDEADLINE);
 }
 END_TEST
 
@@ -275,7 +275,7 @@
 	reserve_of(12, 1, 0, ACCOUNT_LARGE, PIMENTO_MSEC, OWNER_HOPS_FINAL, 0);
 	expect_message(MESSAGE_REFUSE, 10, PIMENTO_EBUSY);
 	expect_message(MESSAGE_REFUSE, 11, PIMENTO_EBUSY);
-	expect_message(MESSAGE_REFUSE, 12, PIMENTO_ELATE);
+	expect_message(MESSAGE_REFUSE, 12, PIMENTO_EDEADLINE);
 	reserve(13, 1);
 	expect_message(MESSAGE_REFUSE, 13, PIMENTO_EBUSY);
 	reserve(14, 0);
--- a/test/test_route.c
+++ b/test/test_route.c
@@ -152,7 +152,7 @@
 static int refused(route_retry_t *retry, const route_query_t *q,
 		   pimento_id_t endpoint, route_choice_t *choice, uint8_t *hops)
 {
-	message_refuse_t refuse = { .reason = PIMENTO_ELATE,
+	message_refuse_t refuse = { .reason = PIMENTO_EDEADLINE,
 				    .retry_after = PIMENTO_SEC };
 
 	return route_refused(&route, 0, retry, q, query.time_left, endpoint,
@@ -181,7 +181,7 @@
 	}
 	ck_assert_int_eq(
 		refused(&retry, &query, choice.endpoint, &choice, &hops),
-		PIMENTO_ELATE);
+		PIMENTO_EDEADLINE);
 	ck_assert_int_eq(retry.retry_after, PIMENTO_SEC);
 }
 END_TEST
@@ -197,7 +197,7 @@
 	route_retry_init(&retry);
 	ck_assert_int_eq(refused(&retry, &q, FAST, &choice, &hops), 0);
 	ck_assert_int_eq(refused(&retry, &q, SLOW, &choice, &hops),
-			 PIMENTO_ELATE);
+			 PIMENTO_EDEADLINE);
 }
 END_TEST
 
