--- a/test/world.c
+++ b/test/world.c
@@ -1,6 +1,6 @@
 /*
- * The queue of things to come holds messages, connections, ends of runs and
- * calls; whichever is due next happens next. A paused host's things wait for
+ * The queue of events to come holds messages, connections, ends of runs and
+ * calls; whichever is due next happens next. A paused host's events wait for
  * it; a dead host's are lost.
  */
 
@@ -11,37 +11,37 @@
 #include <string.h>
 
 #define LINK_DELAY PIMENTO_MSEC
-#define RUN_MIN (20 * PIMENTO_MSEC)
-#define RUN_SPREAD (800 * PIMENTO_MSEC)
-#define PATIENCE (4 * PIMENTO_SEC)
-#define SETTLE (40 * PIMENTO_SEC)
-#define START (2 * PIMENTO_SEC)
-#define CALL_PERIOD (30 * PIMENTO_MSEC)
-#define BROKEN_MAX 200
-#define KEY_PERIOD (150 * PIMENTO_MSEC)
-#define KEYS_AT_ONCE 12
-
-typedef enum thing_kind {
-	THING_MESSAGE = 1,
-	THING_CONNECT, /* an exchange's connection stands */
-	THING_END, /* an exchange ends */
-	THING_LEAVE /* a caller leaves */
-} thing_kind_t;
-
-typedef struct thing {
-	thing_kind_t kind;
+#define RUN_TIME_MIN (20 * PIMENTO_MSEC)
+#define RUN_TIME_SPREAD (800 * PIMENTO_MSEC)
+#define CLIENT_TIMEOUT (4 * PIMENTO_SEC)
+#define RECOVERY_SPAN (40 * PIMENTO_SEC)
+#define START_TIME (2 * PIMENTO_SEC)
+#define REQUEST_PERIOD (30 * PIMENTO_MSEC)
+#define VIOLATION_TEXT_MAX 200
+#define KEY_ROTATION_PERIOD (150 * PIMENTO_MSEC)
+#define ACTIVE_KEYS 12
+
+typedef enum netsim_event_kind {
+	NETSIM_EVENT_MESSAGE = 1,
+	NETSIM_EVENT_CONNECT, /* an exchange's connection stands */
+	NETSIM_EVENT_END, /* an exchange ends */
+	NETSIM_EVENT_CALLER_LEAVE /* a caller leaves */
+} netsim_event_kind_t;
+
+typedef struct event {
+	netsim_event_kind_t kind;
 	pimento_usec_t due;
 	uint32_t host;
 	uint64_t incarnation; /* a restarted host is another */
 	pimento_id_t from;
 	message_t *message;
 	pimento_action_t action;
-	pimento_event_kind_t event;
+	pimento_event_kind_t outcome;
 	pimento_handle_t handle;
-} thing_t;
+} netsim_event_t;
 
-/* What the world knows of one request id, whatever hosts believe. */
-typedef struct fate {
+/* What the netsim knows of one request id, whatever hosts believe. */
+typedef struct tracked {
 	pimento_reqid_t id;
 	uint32_t host;
 	uint64_t incarnation;
@@ -49,313 +49,335 @@
 	uint32_t attempt; /* at its commit or refusal */
 	uint32_t commits;
 	bool answered;
-	bool left; /* its caller hears nothing more */
+	bool caller_gone; /* its caller hears nothing more */
 	bool not_run;
-	pimento_usec_t runs_until; /* at the endpoint, 0 never ran */
+	pimento_usec_t run_ends_at; /* at the endpoint, 0 never ran */
 	pimento_id_t endpoint;
-} fate_t;
+} tracked_request_t;
 
-typedef struct box {
+typedef struct sim_host {
 	pimento_host_t *host; /* NULL: down */
 	uint64_t incarnation;
 	pimento_usec_t paused_until;
 	pimento_usec_t restart_at;
-	int side; /* of the cut */
-} box_t;
+	int partition_side; /* of the partition */
+} netsim_host_t;
 
-struct world {
+struct netsim {
 	pimento_random_t random;
-	world_faults_t faults;
-	double keyed;
+	netsim_faults_t faults;
+	double keyed_share;
 	pimento_usec_t now;
 	bool healed;
-	box_t boxes[WORLD_HOSTS];
-	thing_t *things; /* a heap by due */
-	uint32_t thing_count;
-	uint32_t thing_capacity;
-	fate_t fates[WORLD_REQUESTS];
-	uint32_t fate_count;
-	char keys[WORLD_KEYS][PIMENTO_KEY_TEXT];
-	char broken[BROKEN_MAX];
-	world_counts_t counts;
-	pimento_usec_t next_call;
+	netsim_host_t sim_hosts[NETSIM_HOSTS];
+	netsim_event_t *events; /* a heap by due */
+	uint32_t event_count;
+	uint32_t event_capacity;
+	tracked_request_t tracked_requests[NETSIM_REQUESTS_MAX];
+	uint32_t tracked_count;
+	char keys[NETSIM_KEYS_MAX][PIMENTO_KEY_TEXT_SIZE];
+	char violation[VIOLATION_TEXT_MAX];
+	netsim_counts_t counts;
+	pimento_usec_t next_request;
 	pimento_usec_t next_fault;
-	char *config;
-	char *hosts;
+	char *config_text;
+	char *hosts_text;
 };
 
-static const char *const names[WORLD_HOSTS] = { "entry-1", "entry-2", "entry-3",
-						"entry-4", "entry-5" };
+static const char *const host_names[NETSIM_HOSTS] = { "entry-1", "entry-2",
+						      "entry-3", "entry-4",
+						      "entry-5" };
 
-static bool chance(world_t *world, double p)
+static bool random_chance(netsim_t *netsim, double p)
 {
-	return pimento_random_unit(&world->random) < p;
+	return pimento_random_unit(&netsim->random) < p;
 }
 
-static uint64_t below(world_t *world, uint64_t bound)
+static uint64_t random_below(netsim_t *netsim, uint64_t bound)
 {
-	return pimento_random_below(&world->random, bound);
+	return pimento_random_below(&netsim->random, bound);
 }
 
-static void broke(world_t *world, const char *promise, const fate_t *fate)
+static void report_violation(netsim_t *netsim, const char *promise,
+			     const tracked_request_t *tracked)
 {
-	if (*world->broken)
+	if (*netsim->violation)
 		return;
-	snprintf(world->broken, sizeof(world->broken),
+	snprintf(netsim->violation, sizeof(netsim->violation),
 		 "%s (request %llx/%llx, key %d, attempt %u, at %lld us)",
-		 promise, (unsigned long long)fate->id.hi,
-		 (unsigned long long)fate->id.lo, fate->key, fate->attempt,
-		 (long long)world->now);
+		 promise, (unsigned long long)tracked->id.hi,
+		 (unsigned long long)tracked->id.lo, tracked->key,
+		 tracked->attempt, (long long)netsim->now);
 }
 
-static void swap(thing_t *a, thing_t *b)
+static void swap(netsim_event_t *a, netsim_event_t *b)
 {
-	thing_t t = *a;
+	netsim_event_t t = *a;
 
 	*a = *b;
 	*b = t;
 }
 
-static void push(world_t *world, const thing_t *thing)
+static void push(netsim_t *netsim, const netsim_event_t *event)
 {
-	uint32_t i = world->thing_count++;
+	uint32_t i = netsim->event_count++;
 
-	if (world->thing_count > world->thing_capacity) {
-		world->thing_capacity = world->thing_capacity * 2 + 64;
-		world->things = realloc(world->things, world->thing_capacity *
-							       sizeof(thing_t));
+	if (netsim->event_count > netsim->event_capacity) {
+		netsim->event_capacity = netsim->event_capacity * 2 + 64;
+		netsim->events =
+			realloc(netsim->events, netsim->event_capacity *
+							sizeof(netsim_event_t));
 	}
-	world->things[i] = *thing;
-	for (; i && world->things[(i - 1) / 2].due > world->things[i].due;
+	netsim->events[i] = *event;
+	for (; i && netsim->events[(i - 1) / 2].due > netsim->events[i].due;
 	     i = (i - 1) / 2)
-		swap(&world->things[i], &world->things[(i - 1) / 2]);
+		swap(&netsim->events[i], &netsim->events[(i - 1) / 2]);
 }
 
-static thing_t pop(world_t *world)
+static netsim_event_t pop(netsim_t *netsim)
 {
-	thing_t first = world->things[0];
+	netsim_event_t first = netsim->events[0];
 	uint32_t i = 0;
 
-	world->things[0] = world->things[--world->thing_count];
+	netsim->events[0] = netsim->events[--netsim->event_count];
 	for (;;) {
 		uint32_t least = i;
 
 		for (uint32_t c = 2 * i + 1;
-		     c <= 2 * i + 2 && c < world->thing_count; c++) {
-			if (world->things[c].due < world->things[least].due)
+		     c <= 2 * i + 2 && c < netsim->event_count; c++) {
+			if (netsim->events[c].due < netsim->events[least].due)
 				least = c;
 		}
 		if (least == i)
 			return first;
-		swap(&world->things[i], &world->things[least]);
+		swap(&netsim->events[i], &netsim->events[least]);
 		i = least;
 	}
 }
 
-static fate_t *find_fate(world_t *world, pimento_reqid_t id)
+static tracked_request_t *find_tracked(netsim_t *netsim, pimento_reqid_t id)
 {
-	for (uint32_t i = world->fate_count; i-- > 0;) {
-		if (pimento_reqid_equal(world->fates[i].id, id))
-			return &world->fates[i];
+	for (uint32_t i = netsim->tracked_count; i-- > 0;) {
+		if (pimento_reqid_equal(netsim->tracked_requests[i].id, id))
+			return &netsim->tracked_requests[i];
 	}
 	return NULL;
 }
 
-static fate_t *fate_of(world_t *world, uint32_t host, pimento_handle_t handle)
+static tracked_request_t *
+find_tracked_by_handle(netsim_t *netsim, uint32_t host, pimento_handle_t handle)
 {
-	pimento_reqid_t id = { world->boxes[host].incarnation, handle };
+	pimento_reqid_t id = { netsim->sim_hosts[host].incarnation, handle };
 
-	return find_fate(world, id);
+	return find_tracked(netsim, id);
 }
 
-/* The attempt that a host uses for a keyed request, from its own state. */
-static uint32_t attempt_of(world_t *world, uint32_t host,
+/* The attempt that a host uses for a keyed_share request, from its own state. */
+static uint32_t attempt_of(netsim_t *netsim, uint32_t host,
 			   pimento_handle_t handle)
 {
-	const entry_table_t *table = &world->boxes[host].host->entries;
+	const entry_table_t *table = &netsim->sim_hosts[host].host->entries;
 	const entry_t *entry = &table->entries[(uint32_t)handle];
 
 	return entry->claim ? entry->claim->attempt : 0;
 }
 
 /* "Not run" of an attempt covers every request that used it or an older one. */
-static void check_not_run(world_t *world, const fate_t *fate)
+static void check_not_run(netsim_t *netsim, const tracked_request_t *tracked)
 {
-	for (uint32_t i = 0; i < world->fate_count; i++) {
-		const fate_t *other = &world->fates[i];
+	for (uint32_t i = 0; i < netsim->tracked_count; i++) {
+		const tracked_request_t *other = &netsim->tracked_requests[i];
 
-		if (other == fate || fate->key < 0 || other->key != fate->key)
+		if (other == tracked || tracked->key < 0 ||
+		    other->key != tracked->key)
 			continue;
-		if (other->commits && other->attempt <= fate->attempt)
-			broke(world, "not run was said of a key that had run",
-			      fate);
+		if (other->commits && other->attempt <= tracked->attempt)
+			report_violation(
+				netsim,
+				"not run was said of a key that had run",
+				tracked);
 	}
-	if (fate->commits)
-		broke(world, "not run was said after the dispatch", fate);
+	if (tracked->commits)
+		report_violation(netsim, "not run was said after the dispatch",
+				 tracked);
 }
 
-static void check_commit(world_t *world, const fate_t *fate)
+static void check_commit(netsim_t *netsim, const tracked_request_t *tracked)
 {
-	if (fate->commits > 1)
-		broke(world, "a request was dispatched twice", fate);
-	if (fate->not_run)
-		broke(world, "a request ran after not run was said", fate);
-	for (uint32_t i = 0; i < world->fate_count; i++) {
-		const fate_t *other = &world->fates[i];
+	if (tracked->commits > 1)
+		report_violation(netsim, "a request was dispatched twice",
+				 tracked);
+	if (tracked->not_run)
+		report_violation(netsim, "a request ran after not run was said",
+				 tracked);
+	for (uint32_t i = 0; i < netsim->tracked_count; i++) {
+		const tracked_request_t *other = &netsim->tracked_requests[i];
 
-		if (other == fate || fate->key < 0 || other->key != fate->key)
+		if (other == tracked || tracked->key < 0 ||
+		    other->key != tracked->key)
 			continue;
 		if (other->commits)
-			broke(world, "a key was dispatched twice", fate);
-		if (other->not_run && other->attempt >= fate->attempt)
-			broke(world, "an attempt ran after not run was said",
-			      fate);
+			report_violation(netsim, "a key was dispatched twice",
+					 tracked);
+		if (other->not_run && other->attempt >= tracked->attempt)
+			report_violation(
+				netsim, "an attempt ran after not run was said",
+				tracked);
 	}
 }
 
 static uint32_t host_index(pimento_id_t id)
 {
-	for (uint32_t i = 0; i < WORLD_HOSTS; i++) {
-		if (pimento_id(names[i]) == id)
+	for (uint32_t i = 0; i < NETSIM_HOSTS; i++) {
+		if (pimento_id(host_names[i]) == id)
 			return i;
 	}
-	return WORLD_HOSTS;
+	return NETSIM_HOSTS;
 }
 
-static pimento_usec_t link_delay(world_t *world)
+static pimento_usec_t link_delay(netsim_t *netsim)
 {
 	pimento_usec_t delay = LINK_DELAY;
 
-	if (!world->healed && world->faults.delay_max && chance(world, 0.1))
-		delay += (pimento_usec_t)below(
-			world, (uint64_t)world->faults.delay_max);
+	if (!netsim->healed && netsim->faults.delay_max &&
+	    random_chance(netsim, 0.1))
+		delay += (pimento_usec_t)random_below(
+			netsim, (uint64_t)netsim->faults.delay_max);
 	return delay;
 }
 
-static void send_once(world_t *world, uint32_t from, uint32_t to,
+static void send_once(netsim_t *netsim, uint32_t from, uint32_t to,
 		      const message_t *message)
 {
 	size_t size = message_size(message->kind);
-	thing_t thing = { .kind = THING_MESSAGE, .host = to };
+	netsim_event_t event = { .kind = NETSIM_EVENT_MESSAGE, .host = to };
 
-	thing.due = world->now + link_delay(world);
-	thing.from = pimento_id(names[from]);
-	thing.message = malloc(size);
-	memcpy(thing.message, message, size);
-	push(world, &thing);
+	event.due = netsim->now + link_delay(netsim);
+	event.from = pimento_id(host_names[from]);
+	event.message = malloc(size);
+	memcpy(event.message, message, size);
+	push(netsim, &event);
 }
 
-static void send_message(world_t *world, uint32_t from,
+static void send_message(netsim_t *netsim, uint32_t from,
 			 const pimento_action_t *action)
 {
 	uint32_t to = host_index(action->peer);
 
-	world->counts.messages++;
-	if (to == WORLD_HOSTS || !world->boxes[to].host)
+	netsim->counts.messages++;
+	if (to == NETSIM_HOSTS || !netsim->sim_hosts[to].host)
 		return;
-	if (!world->healed &&
-	    (chance(world, world->faults.loss) ||
-	     world->boxes[from].side != world->boxes[to].side)) {
-		world->counts.lost++;
+	if (!netsim->healed && (random_chance(netsim, netsim->faults.loss) ||
+				netsim->sim_hosts[from].partition_side !=
+					netsim->sim_hosts[to].partition_side)) {
+		netsim->counts.lost++;
 		return;
 	}
-	send_once(world, from, to, action->message);
-	if (!world->healed && chance(world, world->faults.doubling)) {
-		world->counts.doubled++;
-		send_once(world, from, to, action->message);
+	send_once(netsim, from, to, action->message);
+	if (!netsim->healed &&
+	    random_chance(netsim, netsim->faults.duplication)) {
+		netsim->counts.duplicated++;
+		send_once(netsim, from, to, action->message);
 	}
 }
 
-static void start_exchange(world_t *world, uint32_t host,
+static void start_exchange(netsim_t *netsim, uint32_t host,
 			   const pimento_action_t *action)
 {
-	thing_t thing = { .kind = THING_CONNECT, .host = host };
+	netsim_event_t event = { .kind = NETSIM_EVENT_CONNECT, .host = host };
 
-	thing.due = world->now + link_delay(world);
-	thing.incarnation = world->boxes[host].incarnation;
-	thing.action = *action;
-	push(world, &thing);
+	event.due = netsim->now + link_delay(netsim);
+	event.incarnation = netsim->sim_hosts[host].incarnation;
+	event.action = *action;
+	push(netsim, &event);
 }
 
-static void end_at(world_t *world, const thing_t *connect, pimento_usec_t due,
-		   pimento_event_kind_t event)
+static void schedule_end(netsim_t *netsim, const netsim_event_t *connect,
+			 pimento_usec_t due, pimento_event_kind_t outcome)
 {
-	thing_t thing = *connect;
+	netsim_event_t event = *connect;
 
-	thing.kind = THING_END;
-	thing.due = due;
-	thing.event = event;
-	push(world, &thing);
+	event.kind = NETSIM_EVENT_END;
+	event.due = due;
+	event.outcome = outcome;
+	push(netsim, &event);
 }
 
-static void note_answer(world_t *world, uint32_t host, pimento_handle_t handle)
+static void record_answer(netsim_t *netsim, uint32_t host,
+			  pimento_handle_t handle)
 {
-	fate_t *fate = fate_of(world, host, handle);
+	tracked_request_t *tracked =
+		find_tracked_by_handle(netsim, host, handle);
 
-	if (!fate || fate->left)
+	if (!tracked || tracked->caller_gone)
 		return;
-	if (fate->answered)
-		broke(world, "a request was answered twice", fate);
-	fate->answered = true;
+	if (tracked->answered)
+		report_violation(netsim, "a request was answered twice",
+				 tracked);
+	tracked->answered = true;
 }
 
-static void note_refusal(world_t *world, uint32_t host,
-			 const pimento_action_t *action)
+static void record_refusal(netsim_t *netsim, uint32_t host,
+			   const pimento_action_t *action)
 {
-	fate_t *fate = fate_of(world, host, action->request);
+	tracked_request_t *tracked =
+		find_tracked_by_handle(netsim, host, action->request);
 
-	note_answer(world, host, action->request);
-	world->counts.refused[action->verdict]++;
-	if (!fate || action->verdict != PIMENTO_NOT_RUN ||
+	record_answer(netsim, host, action->request);
+	netsim->counts.refused[action->verdict]++;
+	if (!tracked || action->verdict != PIMENTO_NOT_RUN ||
 	    action->error == PIMENTO_EMISMATCH)
 		return;
-	fate->not_run = true;
+	tracked->not_run = true;
 	/* Without a known attempt the promise is of the first. */
-	fate->attempt = action->attempt ? action->attempt : 1;
-	check_not_run(world, fate);
+	tracked->attempt = action->attempt ? action->attempt : 1;
+	check_not_run(netsim, tracked);
 }
 
 /* The answer kept for a key is the id of the request that ran under it. */
-static void note_replay(world_t *world, uint32_t host,
-			const pimento_action_t *action)
+static void check_replay(netsim_t *netsim, uint32_t host,
+			 const pimento_action_t *action)
 {
-	const fate_t *fate = fate_of(world, host, action->request);
+	const tracked_request_t *tracked =
+		find_tracked_by_handle(netsim, host, action->request);
 	pimento_reqid_t id;
-	const fate_t *ran;
+	const tracked_request_t *ran;
 
 	memcpy(&id, action->answer, sizeof(id));
-	ran = find_fate(world, id);
-	if (fate && (!ran || ran->key != fate->key || !ran->commits))
-		broke(world, "an answer of another request", fate);
-	note_answer(world, host, action->request);
-	world->counts.replayed++;
+	ran = find_tracked(netsim, id);
+	if (tracked && (!ran || ran->key != tracked->key || !ran->commits))
+		report_violation(netsim, "an answer of another request",
+				 tracked);
+	record_answer(netsim, host, action->request);
+	netsim->counts.replayed++;
 	free(action->answer);
 }
 
-static void drain(world_t *world, uint32_t host)
+static void run_actions(netsim_t *netsim, uint32_t host)
 {
 	pimento_action_t action;
 
-	while (pimento_host_next(world->boxes[host].host, &action)) {
+	while (pimento_host_next_action(netsim->sim_hosts[host].host,
+					&action)) {
 		switch (action.kind) {
 		case PIMENTO_ACTION_SEND:
-			send_message(world, host, &action);
+			send_message(netsim, host, &action);
 			break;
-		case PIMENTO_ACTION_FOLLOW:
-			world->counts.followed++;
-			start_exchange(world, host, &action);
+		case PIMENTO_ACTION_RESUME:
+			netsim->counts.resumed++;
+			start_exchange(netsim, host, &action);
 			break;
 		case PIMENTO_ACTION_DISPATCH:
-			start_exchange(world, host, &action);
+			start_exchange(netsim, host, &action);
 			break;
 		case PIMENTO_ACTION_REFUSE:
-			note_refusal(world, host, &action);
+			record_refusal(netsim, host, &action);
 			break;
 		case PIMENTO_ACTION_REPLAY:
-			note_replay(world, host, &action);
+			check_replay(netsim, host, &action);
 			break;
 		case PIMENTO_ACTION_END:
-			note_answer(world, host, action.request);
+			record_answer(netsim, host, action.request);
 			break;
 		default:
 			break;
@@ -364,370 +386,392 @@
 }
 
 /* The bytes left: from here the endpoint runs the request, come what may. */
-static void commit(world_t *world, const thing_t *thing)
+static void commit(netsim_t *netsim, const netsim_event_t *event)
 {
-	pimento_handle_t handle = thing->action.request;
-	uint32_t attempt = attempt_of(world, thing->host, handle);
-	fate_t *fate = find_fate(world, thing->action.stream);
+	pimento_handle_t handle = event->action.request;
+	uint32_t attempt = attempt_of(netsim, event->host, handle);
+	tracked_request_t *tracked = find_tracked(netsim, event->action.stream);
 	pimento_usec_t end;
 
-	if (pimento_host_commit(world->boxes[thing->host].host, world->now,
-				handle))
+	if (pimento_host_commit(netsim->sim_hosts[event->host].host,
+				netsim->now, handle))
 		return;
-	world->counts.commits++;
-	fate->commits++;
-	fate->attempt = attempt;
-	fate->endpoint = thing->action.endpoint;
-	check_commit(world, fate);
-	end = world->now + RUN_MIN +
-	      (pimento_usec_t)below(world, (uint64_t)RUN_SPREAD);
-	fate->runs_until = end;
-	if (!world->healed && chance(world, world->faults.broken))
-		end_at(world, thing, world->now + (end - world->now) / 2,
-		       PIMENTO_EVENT_BROKEN);
+	netsim->counts.commits++;
+	tracked->commits++;
+	tracked->attempt = attempt;
+	tracked->endpoint = event->action.endpoint;
+	check_commit(netsim, tracked);
+	end = netsim->now + RUN_TIME_MIN +
+	      (pimento_usec_t)random_below(netsim, (uint64_t)RUN_TIME_SPREAD);
+	tracked->run_ends_at = end;
+	if (!netsim->healed && random_chance(netsim, netsim->faults.disconnect))
+		schedule_end(netsim, event,
+			     netsim->now + (end - netsim->now) / 2,
+			     PIMENTO_EVENT_CONNECTION_LOST);
 	else
-		end_at(world, thing, end, PIMENTO_EVENT_DONE);
+		schedule_end(netsim, event, end, PIMENTO_EVENT_DONE);
 }
 
-static void follow(world_t *world, const thing_t *thing)
+static void resume_stream(netsim_t *netsim, const netsim_event_t *event)
 {
-	const fate_t *fate = find_fate(world, thing->action.stream);
+	const tracked_request_t *tracked =
+		find_tracked(netsim, event->action.stream);
 	pimento_usec_t end;
 
-	if (!fate || !fate->runs_until ||
-	    fate->endpoint != thing->action.endpoint) {
-		end_at(world, thing, world->now, PIMENTO_EVENT_LOST);
+	if (!tracked || !tracked->run_ends_at ||
+	    tracked->endpoint != event->action.endpoint) {
+		schedule_end(netsim, event, netsim->now,
+			     PIMENTO_EVENT_STREAM_UNKNOWN);
 		return;
 	}
-	end = fate->runs_until > world->now ? fate->runs_until : world->now;
-	if (!world->healed && chance(world, world->faults.broken))
-		end_at(world, thing, world->now, PIMENTO_EVENT_BROKEN);
+	end = tracked->run_ends_at > netsim->now ? tracked->run_ends_at
+						 : netsim->now;
+	if (!netsim->healed && random_chance(netsim, netsim->faults.disconnect))
+		schedule_end(netsim, event, netsim->now,
+			     PIMENTO_EVENT_CONNECTION_LOST);
 	else
-		end_at(world, thing, end, PIMENTO_EVENT_DONE);
+		schedule_end(netsim, event, end, PIMENTO_EVENT_DONE);
 }
 
-static void on_connect(world_t *world, const thing_t *thing)
+static void on_connect(netsim_t *netsim, const netsim_event_t *event)
 {
-	if (!world->healed && chance(world, world->faults.refused))
-		end_at(world, thing, world->now, PIMENTO_EVENT_UNREACHABLE);
-	else if (thing->action.kind == PIMENTO_ACTION_DISPATCH)
-		commit(world, thing);
+	if (!netsim->healed &&
+	    random_chance(netsim, netsim->faults.connect_refused))
+		schedule_end(netsim, event, netsim->now,
+			     PIMENTO_EVENT_UNREACHABLE);
+	else if (event->action.kind == PIMENTO_ACTION_DISPATCH)
+		commit(netsim, event);
 	else
-		follow(world, thing);
+		resume_stream(netsim, event);
 }
 
-static void on_end(world_t *world, const thing_t *thing)
+static void on_end(netsim_t *netsim, const netsim_event_t *event)
 {
-	pimento_event_t event = { .kind = thing->event,
-				  .status = 200,
-				  .tokens = 10 };
+	pimento_event_t outcome = { .kind = event->outcome,
+				    .status = 200,
+				    .tokens = 10 };
 
 	/* Small answers are kept; the id stands for the bytes. */
-	if (thing->event == PIMENTO_EVENT_DONE) {
-		event.answer = (const uint8_t *)&thing->action.stream;
-		event.answer_size = sizeof(thing->action.stream);
+	if (event->outcome == PIMENTO_EVENT_DONE) {
+		outcome.answer = (const uint8_t *)&event->action.stream;
+		outcome.answer_size = sizeof(event->action.stream);
 	}
-	pimento_host_event(world->boxes[thing->host].host, world->now,
-			   thing->action.request, &event);
+	pimento_host_event(netsim->sim_hosts[event->host].host, netsim->now,
+			   event->action.request, &outcome);
 }
 
-static void on_leave(world_t *world, const thing_t *thing)
+static void on_leave(netsim_t *netsim, const netsim_event_t *event)
 {
-	pimento_event_t event = { .kind = PIMENTO_EVENT_LEFT };
-	fate_t *fate = fate_of(world, thing->host, thing->handle);
+	pimento_event_t outcome = { .kind = PIMENTO_EVENT_CALLER_DISCONNECTED };
+	tracked_request_t *tracked =
+		find_tracked_by_handle(netsim, event->host, event->handle);
 
-	if (!fate || fate->answered)
+	if (!tracked || tracked->answered)
 		return;
-	pimento_host_event(world->boxes[thing->host].host, world->now,
-			   thing->handle, &event);
-	fate->answered = true;
-	fate->left = true;
+	pimento_host_event(netsim->sim_hosts[event->host].host, netsim->now,
+			   event->handle, &outcome);
+	tracked->answered = true;
+	tracked->caller_gone = true;
 }
 
-static void happen(world_t *world, thing_t *thing)
+static void handle_event(netsim_t *netsim, netsim_event_t *event)
 {
-	box_t *box = &world->boxes[thing->host];
+	netsim_host_t *sim_host = &netsim->sim_hosts[event->host];
 
-	if (box->host && box->paused_until > world->now) {
-		thing->due =
-			box->paused_until + (pimento_usec_t)below(world, 1000);
-		push(world, thing);
+	if (sim_host->host && sim_host->paused_until > netsim->now) {
+		event->due = sim_host->paused_until +
+			     (pimento_usec_t)random_below(netsim, 1000);
+		push(netsim, event);
 		return;
 	}
-	if (thing->kind == THING_MESSAGE) {
-		if (box->host)
-			pimento_host_receive(box->host, world->now, thing->from,
-					     thing->message);
-		free(thing->message);
-	} else if (box->host && box->incarnation == thing->incarnation) {
-		if (thing->kind == THING_CONNECT)
-			on_connect(world, thing);
-		else if (thing->kind == THING_END)
-			on_end(world, thing);
+	if (event->kind == NETSIM_EVENT_MESSAGE) {
+		if (sim_host->host)
+			pimento_host_receive(sim_host->host, netsim->now,
+					     event->from, event->message);
+		free(event->message);
+	} else if (sim_host->host &&
+		   sim_host->incarnation == event->incarnation) {
+		if (event->kind == NETSIM_EVENT_CONNECT)
+			on_connect(netsim, event);
+		else if (event->kind == NETSIM_EVENT_END)
+			on_end(netsim, event);
 		else
-			on_leave(world, thing);
+			on_leave(netsim, event);
 	}
-	if (box->host)
-		drain(world, thing->host);
+	if (sim_host->host)
+		run_actions(netsim, event->host);
 }
 
-static int start_host(world_t *world, uint32_t i)
+static int start_host(netsim_t *netsim, uint32_t i)
 {
-	pimento_host_options_t options = { .name = names[i] };
-	box_t *box = &world->boxes[i];
+	pimento_host_options_t options = { .name = host_names[i] };
+	netsim_host_t *sim_host = &netsim->sim_hosts[i];
 	int error;
 
-	box->host = calloc(1, sizeof(*box->host));
-	box->incarnation = pimento_random_next(&world->random) | 1;
-	options.incarnation = box->incarnation;
-	options.seed = pimento_random_next(&world->random);
+	sim_host->host = calloc(1, sizeof(*sim_host->host));
+	sim_host->incarnation = pimento_random_next(&netsim->random) | 1;
+	options.incarnation = sim_host->incarnation;
+	options.seed = pimento_random_next(&netsim->random);
 	options.requests_max = 512;
 	options.waiting_max = 1024;
 	options.keys_max = 256;
-	error = pimento_host_init(box->host, &options, world->now);
+	error = pimento_host_init(sim_host->host, &options, netsim->now);
 	if (!error)
-		error = pimento_host_read(box->host, world->now, true, 1,
-					  world->hosts, strlen(world->hosts));
+		error = pimento_host_apply_update(sim_host->host, netsim->now,
+						  true, 1, netsim->hosts_text,
+						  strlen(netsim->hosts_text));
 	if (!error)
-		error = pimento_host_read(box->host, world->now, false, 1,
-					  world->config, strlen(world->config));
-	drain(world, i);
+		error = pimento_host_apply_update(sim_host->host, netsim->now,
+						  false, 1, netsim->config_text,
+						  strlen(netsim->config_text));
+	run_actions(netsim, i);
 	return error;
 }
 
-static void crash(world_t *world, uint32_t i)
+static void crash(netsim_t *netsim, uint32_t i)
 {
-	box_t *box = &world->boxes[i];
+	netsim_host_t *sim_host = &netsim->sim_hosts[i];
 
-	if (!box->host)
+	if (!sim_host->host)
 		return;
-	world->counts.crashes++;
-	pimento_host_finish(box->host);
-	free(box->host);
-	box->host = NULL;
-	box->restart_at =
-		world->now + (pimento_usec_t)below(world, 4 * PIMENTO_SEC);
+	netsim->counts.crashes++;
+	pimento_host_finish(sim_host->host);
+	free(sim_host->host);
+	sim_host->host = NULL;
+	sim_host->restart_at = netsim->now + (pimento_usec_t)random_below(
+						     netsim, 4 * PIMENTO_SEC);
 }
 
-static void cut(world_t *world)
+static void partition(netsim_t *netsim)
 {
-	bool cut_now = chance(world, 0.5);
+	bool start_partition = random_chance(netsim, 0.5);
 
-	world->counts.cuts += cut_now;
-	for (uint32_t i = 0; i < WORLD_HOSTS; i++)
-		world->boxes[i].side = cut_now ? (int)below(world, 2) : 0;
+	netsim->counts.partitions += start_partition;
+	for (uint32_t i = 0; i < NETSIM_HOSTS; i++)
+		netsim->sim_hosts[i].partition_side =
+			start_partition ? (int)random_below(netsim, 2) : 0;
 }
 
-static void inject(world_t *world)
+static void inject_faults(netsim_t *netsim)
 {
-	for (uint32_t i = 0; i < WORLD_HOSTS; i++) {
-		box_t *box = &world->boxes[i];
+	for (uint32_t i = 0; i < NETSIM_HOSTS; i++) {
+		netsim_host_t *sim_host = &netsim->sim_hosts[i];
 
-		if (chance(world, world->faults.crash))
-			crash(world, i);
-		if (box->host && chance(world, world->faults.pause)) {
-			world->counts.pauses++;
-			box->paused_until =
-				world->now +
-				(pimento_usec_t)below(world, 8 * PIMENTO_SEC);
+		if (random_chance(netsim, netsim->faults.crash))
+			crash(netsim, i);
+		if (sim_host->host &&
+		    random_chance(netsim, netsim->faults.pause)) {
+			netsim->counts.pauses++;
+			sim_host->paused_until =
+				netsim->now + (pimento_usec_t)random_below(
+						      netsim, 8 * PIMENTO_SEC);
 		}
 	}
-	if (chance(world, world->faults.cut))
-		cut(world);
+	if (random_chance(netsim, netsim->faults.partition))
+		partition(netsim);
 }
 
 /* A caller's own key: a UUID of version 7, which carries its birth. */
-static void make_own_key(world_t *world, char *key)
+static void make_caller_key(netsim_t *netsim, char *key)
 {
-	uint64_t msec = (uint64_t)(world->now / PIMENTO_MSEC);
+	uint64_t msec = (uint64_t)(netsim->now / PIMENTO_MSEC);
 
-	snprintf(key, PIMENTO_KEY_TEXT, "%08x-%04x-7%03x-8%03x-%012llx",
+	snprintf(key, PIMENTO_KEY_TEXT_SIZE, "%08x-%04x-7%03x-8%03x-%012llx",
 		 (unsigned)(msec >> 16), (unsigned)(msec & 0xffff),
-		 (unsigned)below(world, 4096), (unsigned)below(world, 4096),
-		 (unsigned long long)below(world, 1ULL << 48));
+		 (unsigned)random_below(netsim, 4096),
+		 (unsigned)random_below(netsim, 4096),
+		 (unsigned long long)random_below(netsim, 1ULL << 48));
 }
 
 /*
  * A key is used by several callers, also at once and through several hosts,
  * for a while; then others are. Every third is the caller's own.
  */
-static const char *choose_key(world_t *world, uint32_t host, int *index)
+static const char *choose_key(netsim_t *netsim, uint32_t host, int *index)
 {
-	uint64_t base = (uint64_t)((world->now - START) / KEY_PERIOD);
+	uint64_t base =
+		(uint64_t)((netsim->now - START_TIME) / KEY_ROTATION_PERIOD);
 	char *key;
 
-	*index = (int)((base + below(world, KEYS_AT_ONCE)) % WORLD_KEYS);
-	key = world->keys[*index];
+	*index = (int)((base + random_below(netsim, ACTIVE_KEYS)) %
+		       NETSIM_KEYS_MAX);
+	key = netsim->keys[*index];
 	if (!*key && *index % 3 == 0)
-		make_own_key(world, key);
+		make_caller_key(netsim, key);
 	else if (!*key)
-		pimento_host_issue(world->boxes[host].host, world->now,
-				   world->now / PIMENTO_MSEC,
-				   pimento_random_next(&world->random), key);
+		pimento_host_issue_key(netsim->sim_hosts[host].host,
+				       netsim->now, netsim->now / PIMENTO_MSEC,
+				       pimento_random_next(&netsim->random),
+				       key);
 	return *key ? key : NULL;
 }
 
-static void call(world_t *world)
+static void submit_request(netsim_t *netsim)
 {
-	uint32_t host = (uint32_t)below(world, WORLD_HOSTS);
-	box_t *box = &world->boxes[host];
-	pimento_request_t request = { .account = 1, .patience = PATIENCE };
-	fate_t *fate = &world->fates[world->fate_count];
+	uint32_t host = (uint32_t)random_below(netsim, NETSIM_HOSTS);
+	netsim_host_t *sim_host = &netsim->sim_hosts[host];
+	pimento_request_t request = { .account = 1,
+				      .client_timeout = CLIENT_TIMEOUT };
+	tracked_request_t *tracked =
+		&netsim->tracked_requests[netsim->tracked_count];
 	pimento_handle_t handle;
-	thing_t leave = { .kind = THING_LEAVE, .host = host };
+	netsim_event_t leave = { .kind = NETSIM_EVENT_CALLER_LEAVE,
+				 .host = host };
 
-	if (!box->host || box->paused_until > world->now ||
-	    world->fate_count == WORLD_REQUESTS)
+	if (!sim_host->host || sim_host->paused_until > netsim->now ||
+	    netsim->tracked_count == NETSIM_REQUESTS_MAX)
 		return;
-	memset(fate, 0, sizeof(*fate));
-	fate->key = -1;
-	request.model = chance(world, 0.6);
+	memset(tracked, 0, sizeof(*tracked));
+	tracked->key = -1;
+	request.is_model = random_chance(netsim, 0.6);
 	request.repeatable = true;
-	request.tier = (uint8_t)below(world, 2);
+	request.tier = (uint8_t)random_below(netsim, 2);
 	request.prompt_tokens = 100;
 	request.answer_tokens = 10;
-	request.wall_msec = world->now / PIMENTO_MSEC;
-	if (chance(world, world->keyed))
-		request.key = choose_key(world, host, &fate->key);
+	request.wall_msec = netsim->now / PIMENTO_MSEC;
+	if (random_chance(netsim, netsim->keyed_share))
+		request.key = choose_key(netsim, host, &tracked->key);
 	if (!request.key)
-		fate->key = -1;
+		tracked->key = -1;
 	else
-		request.model = fate->key % 2;
-	request.digest = request.key ? (uint64_t)fate->key + 1 : 0;
-	strcpy(request.target, request.model ? "planner" : "orders");
-	if (pimento_host_submit(box->host, world->now, &request, &handle,
-				&fate->id))
+		request.is_model = tracked->key % 2;
+	request.digest = request.key ? (uint64_t)tracked->key + 1 : 0;
+	strcpy(request.target, request.is_model ? "planner" : "orders");
+	if (pimento_host_submit(sim_host->host, netsim->now, &request, &handle,
+				&tracked->id))
 		return;
-	fate->host = host;
-	fate->incarnation = box->incarnation;
-	world->fate_count++;
-	world->counts.submitted++;
-	drain(world, host);
-	if (chance(world, world->faults.leave)) {
-		leave.due = world->now +
-			    (pimento_usec_t)below(world, 300 * PIMENTO_MSEC);
-		leave.incarnation = box->incarnation;
+	tracked->host = host;
+	tracked->incarnation = sim_host->incarnation;
+	netsim->tracked_count++;
+	netsim->counts.submitted++;
+	run_actions(netsim, host);
+	if (random_chance(netsim, netsim->faults.caller_leave)) {
+		leave.due = netsim->now + (pimento_usec_t)random_below(
+						  netsim, 300 * PIMENTO_MSEC);
+		leave.incarnation = sim_host->incarnation;
 		leave.handle = handle;
-		push(world, &leave);
+		push(netsim, &leave);
 	}
 }
 
-static void tick_hosts(world_t *world)
+static void tick_hosts(netsim_t *netsim)
 {
-	for (uint32_t i = 0; i < WORLD_HOSTS; i++) {
-		box_t *box = &world->boxes[i];
+	for (uint32_t i = 0; i < NETSIM_HOSTS; i++) {
+		netsim_host_t *sim_host = &netsim->sim_hosts[i];
 
-		if (!box->host && world->now >= box->restart_at)
-			start_host(world, i);
-		if (!box->host || box->paused_until > world->now ||
-		    pimento_host_deadline(box->host) > world->now)
+		if (!sim_host->host && netsim->now >= sim_host->restart_at)
+			start_host(netsim, i);
+		if (!sim_host->host || sim_host->paused_until > netsim->now ||
+		    pimento_host_deadline(sim_host->host) > netsim->now)
 			continue;
-		pimento_host_tick(box->host, world->now);
-		drain(world, i);
+		pimento_host_tick(sim_host->host, netsim->now);
+		run_actions(netsim, i);
 	}
 }
 
-static pimento_usec_t next_time(const world_t *world)
+static pimento_usec_t next_time(const netsim_t *netsim)
 {
-	pimento_usec_t next = world->next_call;
+	pimento_usec_t next = netsim->next_request;
 
-	if (world->healed)
+	if (netsim->healed)
 		next = PIMENTO_NEVER;
-	if (world->thing_count && world->things[0].due < next)
-		next = world->things[0].due;
-	for (uint32_t i = 0; i < WORLD_HOSTS; i++) {
-		const box_t *box = &world->boxes[i];
-		pimento_usec_t due = box->restart_at;
-
-		if (box->host)
-			due = pimento_host_deadline(box->host);
-		if (box->host && due < box->paused_until)
-			due = box->paused_until;
+	if (netsim->event_count && netsim->events[0].due < next)
+		next = netsim->events[0].due;
+	for (uint32_t i = 0; i < NETSIM_HOSTS; i++) {
+		const netsim_host_t *sim_host = &netsim->sim_hosts[i];
+		pimento_usec_t due = sim_host->restart_at;
+
+		if (sim_host->host)
+			due = pimento_host_deadline(sim_host->host);
+		if (sim_host->host && due < sim_host->paused_until)
+			due = sim_host->paused_until;
 		if (due < next)
 			next = due;
 	}
-	return next > world->now ? next : world->now + 1;
+	return next > netsim->now ? next : netsim->now + 1;
 }
 
-static void step(world_t *world)
+static void step(netsim_t *netsim)
 {
-	world->counts.steps++;
-	world->now = next_time(world);
-	while (world->thing_count && world->things[0].due <= world->now &&
-	       !*world->broken) {
-		thing_t thing = pop(world);
+	netsim->counts.steps++;
+	netsim->now = next_time(netsim);
+	while (netsim->event_count && netsim->events[0].due <= netsim->now &&
+	       !*netsim->violation) {
+		netsim_event_t event = pop(netsim);
 
-		happen(world, &thing);
+		handle_event(netsim, &event);
 	}
-	tick_hosts(world);
-	if (world->healed)
+	tick_hosts(netsim);
+	if (netsim->healed)
 		return;
-	if (world->now >= world->next_call) {
-		world->next_call = world->now + CALL_PERIOD;
-		call(world);
+	if (netsim->now >= netsim->next_request) {
+		netsim->next_request = netsim->now + REQUEST_PERIOD;
+		submit_request(netsim);
 	}
-	if (world->now >= world->next_fault) {
-		world->next_fault = world->now + PIMENTO_SEC;
-		inject(world);
+	if (netsim->now >= netsim->next_fault) {
+		netsim->next_fault = netsim->now + PIMENTO_SEC;
+		inject_faults(netsim);
 	}
 }
 
-static void heal(world_t *world)
+static void heal(netsim_t *netsim)
 {
-	world->healed = true;
-	for (uint32_t i = 0; i < WORLD_HOSTS; i++) {
-		world->boxes[i].paused_until = 0;
-		world->boxes[i].side = 0;
-		world->boxes[i].restart_at = world->now;
+	netsim->healed = true;
+	for (uint32_t i = 0; i < NETSIM_HOSTS; i++) {
+		netsim->sim_hosts[i].paused_until = 0;
+		netsim->sim_hosts[i].partition_side = 0;
+		netsim->sim_hosts[i].restart_at = netsim->now;
 	}
 }
 
 /* Nothing is lost: whoever's entry host lived on has an answer by now. */
-static void check_answered(world_t *world)
+static void check_answered(netsim_t *netsim)
 {
-	for (uint32_t i = 0; i < world->fate_count; i++) {
-		const fate_t *fate = &world->fates[i];
+	for (uint32_t i = 0; i < netsim->tracked_count; i++) {
+		const tracked_request_t *tracked = &netsim->tracked_requests[i];
 
-		if (fate->answered ||
-		    world->boxes[fate->host].incarnation != fate->incarnation)
+		if (tracked->answered ||
+		    netsim->sim_hosts[tracked->host].incarnation !=
+			    tracked->incarnation)
 			continue;
-		world->counts.unanswered++;
-		broke(world, "a request was never answered", fate);
+		netsim->counts.unanswered++;
+		report_violation(netsim, "a request was never answered",
+				 tracked);
 	}
 }
 
-void world_run(world_t *world, pimento_usec_t span)
+void netsim_run(netsim_t *netsim, pimento_usec_t span)
 {
-	pimento_usec_t end = world->now + span;
+	pimento_usec_t end = netsim->now + span;
 
-	while (world->now < end && !*world->broken)
-		step(world);
-	heal(world);
-	end = world->now + SETTLE;
-	while (world->now < end && !*world->broken)
-		step(world);
-	check_answered(world);
+	while (netsim->now < end && !*netsim->violation)
+		step(netsim);
+	heal(netsim);
+	end = netsim->now + RECOVERY_SPAN;
+	while (netsim->now < end && !*netsim->violation)
+		step(netsim);
+	check_answered(netsim);
 }
 
-static char *make_hosts(void)
+static char *make_hosts_text(void)
 {
 	char *text = NULL;
 	size_t size;
 	FILE *out = open_memstream(&text, &size);
 
 	fputs("{\"revision\":1,\"hosts\":[", out);
-	for (int i = 0; i < WORLD_HOSTS; i++)
+	for (int i = 0; i < NETSIM_HOSTS; i++)
 		fprintf(out,
 			"%s{\"name\":\"%s\",\"datacentre\":\"d\",\"address\":"
 			"\"127.0.0.1\",\"port\":%d,\"role\":\"entry\","
 			"\"state\":\"live\"}",
-			i ? "," : "", names[i], 9001 + i);
+			i ? "," : "", host_names[i], 9001 + i);
 	fputs("]}", out);
 	fclose(out);
 	return text;
 }
 
-static char *make_config(void)
+static char *make_config_text(void)
 {
 	char *text = NULL;
 	size_t size;
@@ -747,7 +791,7 @@
 	      "target = \"service:orders\"\ntier = \"charge\"\n"
 	      "[[service]]\nname = \"orders\"\nprefix = \"/orders\"\n",
 	      out);
-	for (int i = 0; i < WORLD_ENDPOINTS; i++)
+	for (int i = 0; i < NETSIM_ENDPOINTS; i++)
 		fprintf(out,
 			"[[endpoint]]\nname = \"e-%d\"\ndatacentre = \"d\"\n"
 			"target = \"%s\"\naddress = \"127.0.0.1\"\n"
@@ -758,53 +802,54 @@
 	return text;
 }
 
-world_t *world_new(uint64_t seed, const world_faults_t *faults, double keyed)
+netsim_t *netsim_new(uint64_t seed, const netsim_faults_t *faults,
+		     double keyed_share)
 {
-	world_t *world = calloc(1, sizeof(*world));
+	netsim_t *netsim = calloc(1, sizeof(*netsim));
 
-	if (!world)
+	if (!netsim)
 		return NULL;
-	pimento_random_init(&world->random, seed);
-	world->faults = *faults;
-	world->keyed = keyed;
-	world->now = START;
-	world->next_call = START + PIMENTO_SEC;
-	world->next_fault = START + 2 * PIMENTO_SEC;
-	world->config = make_config();
-	world->hosts = make_hosts();
-	for (uint32_t i = 0; i < WORLD_HOSTS; i++) {
-		if (!start_host(world, i))
+	pimento_random_init(&netsim->random, seed);
+	netsim->faults = *faults;
+	netsim->keyed_share = keyed_share;
+	netsim->now = START_TIME;
+	netsim->next_request = START_TIME + PIMENTO_SEC;
+	netsim->next_fault = START_TIME + 2 * PIMENTO_SEC;
+	netsim->config_text = make_config_text();
+	netsim->hosts_text = make_hosts_text();
+	for (uint32_t i = 0; i < NETSIM_HOSTS; i++) {
+		if (!start_host(netsim, i))
 			continue;
-		world_free(world);
+		netsim_free(netsim);
 		return NULL;
 	}
-	return world;
+	return netsim;
 }
 
-void world_free(world_t *world)
+void netsim_free(netsim_t *netsim)
 {
-	for (uint32_t i = 0; i < world->thing_count; i++) {
-		if (world->things[i].kind == THING_MESSAGE)
-			free(world->things[i].message);
+	for (uint32_t i = 0; i < netsim->event_count; i++) {
+		if (netsim->events[i].kind == NETSIM_EVENT_MESSAGE)
+			free(netsim->events[i].message);
 	}
-	for (uint32_t i = 0; i < WORLD_HOSTS; i++) {
-		if (!world->boxes[i].host)
+	for (uint32_t i = 0; i < NETSIM_HOSTS; i++) {
+		if (!netsim->sim_hosts[i].host)
 			continue;
-		pimento_host_finish(world->boxes[i].host);
-		free(world->boxes[i].host);
+		pimento_host_finish(netsim->sim_hosts[i].host);
+		free(netsim->sim_hosts[i].host);
 	}
-	free(world->things);
-	free(world->config);
-	free(world->hosts);
-	free(world);
+	free(netsim->events);
+	free(netsim->config_text);
+	free(netsim->hosts_text);
+	free(netsim);
 }
 
-const char *world_broken(const world_t *world)
+const char *netsim_violation(const netsim_t *netsim)
 {
-	return *world->broken ? world->broken : NULL;
+	return *netsim->violation ? netsim->violation : NULL;
 }
 
-const world_counts_t *world_counts(const world_t *world)
+const netsim_counts_t *netsim_counts(const netsim_t *netsim)
 {
-	return &world->counts;
+	return &netsim->counts;
 }
--- a/test/world.h
+++ b/test/world.h
@@ -10,51 +10,52 @@
 
 #include "host.h"
 
-#define WORLD_HOSTS 5
-#define WORLD_ENDPOINTS 4
-#define WORLD_KEYS 512
-#define WORLD_REQUESTS 4096
+#define NETSIM_HOSTS 5
+#define NETSIM_ENDPOINTS 4
+#define NETSIM_KEYS_MAX 512
+#define NETSIM_REQUESTS_MAX 4096
 
-typedef struct world_faults {
+typedef struct netsim_faults {
 	double loss; /* of a message */
-	double doubling;
+	double duplication;
 	pimento_usec_t delay_max;
-	double refused; /* connections that endpoints refuse */
-	double broken; /* exchanges that break after the commit */
+	double connect_refused; /* connections that endpoints refuse */
+	double disconnect; /* exchanges that break after the commit */
 	double crash; /* chance of a host, each virtual second */
 	double pause;
-	double cut; /* chance of a cut of the fleet, each virtual second */
-	double leave; /* callers who leave while they wait */
-} world_faults_t;
+	double partition; /* chance of a partition of the fleet, each virtual second */
+	double caller_leave; /* callers who leave while they wait */
+} netsim_faults_t;
 
-typedef struct world_counts {
+typedef struct netsim_counts {
 	uint64_t steps;
 	uint64_t messages;
 	uint64_t lost;
-	uint64_t doubled;
+	uint64_t duplicated;
 	uint64_t crashes;
 	uint64_t pauses;
-	uint64_t cuts;
+	uint64_t partitions;
 	uint64_t submitted;
 	uint64_t commits;
 	uint64_t done;
 	uint64_t refused[3]; /* by verdict */
 	uint64_t replayed;
-	uint64_t followed;
+	uint64_t resumed;
 	uint64_t unanswered; /* on hosts that never died: must be zero */
-} world_counts_t;
+} netsim_counts_t;
 
-typedef struct world world_t;
+typedef struct netsim netsim_t;
 
-/* Returns NULL without memory. keyed is the share of requests with a key. */
-world_t *world_new(uint64_t seed, const world_faults_t *faults, double keyed);
-void world_free(world_t *world);
+/* Returns NULL without memory. keyed_share is the share of requests with a key. */
+netsim_t *netsim_new(uint64_t seed, const netsim_faults_t *faults,
+		     double keyed_share);
+void netsim_free(netsim_t *netsim);
 
 /* Runs with faults for a span, then heals and lets everything end. */
-void world_run(world_t *world, pimento_usec_t span);
+void netsim_run(netsim_t *netsim, pimento_usec_t span);
 
 /* The first promise that was broken, or NULL. */
-const char *world_broken(const world_t *world);
-const world_counts_t *world_counts(const world_t *world);
+const char *netsim_violation(const netsim_t *netsim);
+const netsim_counts_t *netsim_counts(const netsim_t *netsim);
 
 #endif
