--- a/bench/slope_gossip.c
+++ b/bench/slope_gossip.c
@@ -72,13 +72,14 @@
 		host_state_t own = HOST_DEAD;
 
 		if (h->up)
-			own = member_state(&h->membership, h->id);
+			own = membership_state(&h->membership, h->id);
 		for (uint32_t j = 0; j < f->count; j++) {
 			host_state_t state;
 
 			if (!f->hosts[j].up)
 				continue;
-			state = member_state(&f->hosts[j].membership, h->id);
+			state = membership_state(&f->hosts[j].membership,
+						 h->id);
 			if (state == HOST_UNKNOWN && !h->up)
 				state = HOST_DEAD;
 			if (state != own)
@@ -235,7 +236,7 @@
 	while (!f->hosts[i].up || f->hosts[i].partition)
 		i++;
 	for (uint32_t e = 0; e < ENDPOINTS; e++) {
-		now[e] = member_owner(&f->hosts[i].membership, e + 1);
+		now[e] = membership_owner(&f->hosts[i].membership, e + 1);
 		if (before && now[e] != before[e])
 			moved++;
 	}
@@ -267,7 +268,8 @@
 	uint32_t wrong = 0;
 
 	for (uint32_t i = 0; i < f->count; i++)
-		if (member_live(&f->hosts[i].membership, NULL, 0) != half)
+		if (membership_live_hosts(&f->hosts[i].membership, NULL, 0) !=
+		    half)
 			wrong++;
 	return wrong;
 }
@@ -344,12 +346,14 @@
 			live[j] = pimento_id(name);
 		}
 		for (uint32_t j = 0; j < sizes[i]; j++) {
-			spread_t s = { .options = { .self = live[j],
-						    .readers =
-							    SPREAD_READERS } };
+			config_sync_t s = {
+				.options = { .self = live[j],
+					     .pollers = CONFIG_SYNC_POLLERS }
+			};
 			pimento_usec_t interval;
 
-			if (spread_reader(&s, live, sizes[i], &interval))
+			if (config_sync_is_poller(&s, live, sizes[i],
+						  &interval))
 				readers++;
 			else
 				reads += 1 / seconds(interval);
--- a/bench/slope_table.c
+++ b/bench/slope_table.c
@@ -102,20 +102,20 @@
 
 static void memory_member(uint32_t n)
 {
-	member_options_t options = { .self = ID(0), .incarnation = 1 };
+	membership_options_t options = { .self = ID(0), .incarnation = 1 };
 	hostlist_t list;
 	outbox_t out;
-	member_t member;
+	membership_t member;
 	double before;
 
 	fill_list(&list, n, false);
 	outbox_init(&out, 16);
 	before = slope_heap();
-	member_init(&member, &options, &out);
-	member_publish(&member, 0, &list);
+	membership_init(&member, &options, &out);
+	membership_apply_hostlist(&member, 0, &list);
 	slope_row("tables", "member, memory per host", n,
 		  (slope_heap() - before) / n, "bytes");
-	member_finish(&member);
+	membership_finish(&member);
 	outbox_finish(&out);
 	free(list.hosts);
 }
@@ -423,8 +423,8 @@
 /* A round: one probe sent, its ack taken, one probe answered. */
 static void repeat_probe(uint32_t hosts, uint32_t times)
 {
-	member_options_t options = { .self = ID(0), .incarnation = 1 };
-	member_t member;
+	membership_options_t options = { .self = ID(0), .incarnation = 1 };
+	membership_t member;
 	outbox_t out;
 	hostlist_t list;
 	message_t probe = { .kind = MESSAGE_PROBE };
@@ -437,11 +437,11 @@
 		return;
 	fill_list(&list, hosts, false);
 	outbox_init(&out, 64);
-	member_init(&member, &options, &out);
-	member_publish(&member, 0, &list);
+	membership_init(&member, &options, &out);
+	membership_apply_hostlist(&member, 0, &list);
 	for (uint32_t i = 0; i < times; i++) {
-		now += MEMBER_PERIOD * 11 / 10;
-		member_tick(&member, now);
+		now += MEMBERSHIP_PROBE_PERIOD * 11 / 10;
+		membership_tick(&member, now);
 		while (outbox_take(&out, &to, &m)) {
 			message_t ack = m;
 
@@ -454,33 +454,34 @@
 					(message_fact_t){ ID((i + j) % hosts),
 							  5, 1, HOST_LIVE, 0 };
 			if (m.kind == MESSAGE_PROBE)
-				member_receive(&member, now, to, &ack);
+				membership_receive(&member, now, to, &ack);
 		}
 		probe.u.probe.sequence = i;
 		probe.u.probe.incarnation = 5;
-		member_receive(&member, now, ID(1 + i % (hosts - 1)), &probe);
+		membership_receive(&member, now, ID(1 + i % (hosts - 1)),
+				   &probe);
 	}
-	member_finish(&member);
+	membership_finish(&member);
 	outbox_finish(&out);
 	free(list.hosts);
 }
 
 static void repeat_owners(uint32_t hosts, uint32_t times)
 {
-	member_options_t options = { .self = ID(0), .incarnation = 1 };
-	member_t member;
+	membership_options_t options = { .self = ID(0), .incarnation = 1 };
+	membership_t member;
 	outbox_t out;
 	hostlist_t list;
 	uint64_t sum = 0;
 
 	fill_list(&list, hosts, false);
 	outbox_init(&out, 64);
-	member_init(&member, &options, &out);
-	member_publish(&member, 0, &list);
+	membership_init(&member, &options, &out);
+	membership_apply_hostlist(&member, 0, &list);
 	for (uint32_t i = 0; i < times; i++)
-		sum += member_owner(&member, ID(i));
+		sum += membership_owner(&member, ID(i));
 	printf("%llu\n", (unsigned long long)sum);
-	member_finish(&member);
+	membership_finish(&member);
 	outbox_finish(&out);
 	free(list.hosts);
 }
--- a/daemon/pimentoedge.c
+++ b/daemon/pimentoedge.c
@@ -69,7 +69,7 @@
 	struct timespec settings_time;
 	edge_settings_t settings;
 	registry_t registry;
-	roster_t roster;
+	peers_t roster;
 	feed_t feed;
 	slots_t slots;
 	gateway_t gateway;
@@ -273,10 +273,10 @@
  */
 static bool may_read(const edge_t *edge, pimento_usec_t now)
 {
-	if (roster_is_discovering(&edge->roster, now))
-		return roster_is_first(&edge->roster);
-	return roster_should_read(&edge->roster, edge->reader, sys_random(),
-				  now);
+	if (peers_is_discovering(&edge->roster, now))
+		return peers_is_default_poller(&edge->roster);
+	return peers_should_poll(&edge->roster, edge->reader, sys_random(),
+				 now);
 }
 
 static void log_reading(const edge_t *edge, const store_t *store, bool active)
@@ -289,7 +289,7 @@
 	      "collection=%s chosen=%d copy_age_ms=%lld readers=%u",
 	      store->name, edge->reader,
 	      age == PIMENTO_NEVER ? -1 : (long long)(age / PIMENTO_MSEC),
-	      edge->roster.reader_count);
+	      edge->roster.poller_count);
 }
 
 /*
@@ -299,7 +299,7 @@
 static void share_reading(edge_t *edge, pimento_usec_t now)
 {
 	feed_t *feed = &edge->feed;
-	uint32_t hosts = roster_hosts(&edge->roster, now);
+	uint32_t hosts = peers_host_count(&edge->roster, now);
 	bool well = feed_is_well(feed);
 
 	edge->reader = may_read(edge, now);
@@ -363,7 +363,7 @@
 		return; /* one stop is enough */
 	edge->stopping = sys_now();
 	gateway_stop(&edge->gateway, edge->stopping + NOTICE);
-	roster_leave(&edge->roster, edge->stopping);
+	peers_leave(&edge->roster, edge->stopping);
 	trail(TRAIL_STATE, "edge", "stopping", "pending=%u seconds=%.1f",
 	      gateway_pending(&edge->gateway), edge->settings.stop_seconds);
 }
@@ -485,7 +485,7 @@
 		return PIMENTO_EIO;
 	registry_init(&edge->registry);
 	if (!error)
-		error = roster_init(&edge->roster, self, sys_random());
+		error = peers_init(&edge->roster, self, sys_random());
 	slots_init(&edge->slots, &edge->registry, &edge->roster, self);
 	edge->slots.replied = on_replied;
 	edge->slots.context = edge;
@@ -523,7 +523,7 @@
 	httpd_finish(&edge->health);
 	feed_finish(&edge->feed);
 	slots_finish(&edge->slots);
-	roster_finish(&edge->roster);
+	peers_finish(&edge->roster);
 	registry_finish(&edge->registry);
 }
 
--- a/io/dispatch.c
+++ b/io/dispatch.c
@@ -234,7 +234,7 @@
 	if (!x->arrivals)
 		return true; /* nothing reached an endpoint yet */
 	if (!retry_budget_take(&x->service->budget, &gateway->bounds.retry,
-			       roster_hosts(gateway->roster, now), now))
+			       peers_host_count(gateway->roster, now), now))
 		return false;
 	gateway->counters.repeats++;
 	return true;
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -134,7 +134,8 @@
 	for (uint32_t i = 0; i < gateway->registry->count; i++) {
 		registry_endpoint_t *e = gateway->registry->endpoints[i];
 
-		roster_load_t load = roster_load(gateway->roster, e->key, now);
+		peers_endpoint_load_t load =
+			peers_endpoint_load(gateway->roster, e->key, now);
 
 		e->remote_running = load.running;
 		if (now - e->report_at < TOLD_AGE)
@@ -145,7 +146,7 @@
 					: 0;
 		else
 			e->report.waiting = 0;
-		e->remote_prompt_tokens = load.reading;
+		e->remote_prompt_tokens = load.prefill_tokens;
 		pool_sweep(e, now);
 	}
 }
--- a/io/gateway.h
+++ b/io/gateway.h
@@ -19,7 +19,7 @@
 #include "../src/client_timeout.h"
 #include "../src/placement.h"
 #include "../src/retry_budget.h"
-#include "../src/roster.h"
+#include "../src/peers.h"
 #include "../src/wait_queue.h"
 
 /* Operators' bounds that the data path keeps. */
@@ -89,7 +89,7 @@
 	const char *datacentre;
 	gateway_bounds_t bounds;
 	registry_t *registry;
-	roster_t *roster;
+	peers_t *roster;
 	const replica_t *replica;
 	slots_t *slots;
 	quota_fleet_ops_t quota_ops;
@@ -124,7 +124,7 @@
 	gateway_bounds_t bounds;
 	bool first_start; /* of the whole system */
 	registry_t *registry;
-	roster_t *roster;
+	peers_t *roster;
 	const replica_t *replica;
 	slots_t *slots;
 	/* Sends a message about quotas to another host. */
--- a/io/mesh.c
+++ b/io/mesh.c
@@ -47,7 +47,7 @@
 
 /* Notes. */
 
-static void add_loads(const mesh_t *mesh, roster_note_t *note)
+static void add_loads(const mesh_t *mesh, gossip_message_t *note)
 {
 	const registry_t *registry = mesh->registry;
 
@@ -55,32 +55,32 @@
 		return;
 	for (uint32_t i = 0; i < registry->count; i++) {
 		const registry_endpoint_t *e = registry->endpoints[i];
-		roster_load_t load = { (uint32_t)e->key, e->running,
-				       e->pending_prompt_tokens };
+		peers_endpoint_load_t load = { (uint32_t)e->key, e->running,
+					       e->pending_prompt_tokens };
 
-		if (e->running && note->load_count < ROSTER_LOADS_MAX)
+		if (e->running && note->load_count < GOSSIP_LOADS_MAX)
 			note->loads[note->load_count++] = load;
 	}
 }
 
 /* What each note says beside membership; who is written to follows. */
-static void write_note(mesh_t *mesh, roster_note_t *note, pimento_usec_t now)
+static void write_note(mesh_t *mesh, gossip_message_t *note, pimento_usec_t now)
 {
 	note->address = mesh->self;
 	note->incarnation = mesh->incarnation;
 	note->load_count = 0;
-	note->owned_count = 0;
+	note->owner_report_count = 0;
 	note->quota_count = 0;
-	roster_tell_readers(mesh->roster, mesh->reader, now, note);
-	if (note->membership.count > ROSTER_FACTS_CALM)
+	peers_put_pollers(mesh->roster, mesh->reader, now, note);
+	if (note->membership.count > GOSSIP_FACTS_NORMAL)
 		return; /* after many hosts started, they come first */
 	add_loads(mesh, note);
 	note->quota_count = quota_collect_reports(
-		&mesh->quota->owned, note->quotas, ROSTER_QUOTAS_MAX, now);
+		&mesh->quota->owned, note->quotas, GOSSIP_QUOTAS_MAX, now);
 	slots_say(mesh->slots, note, now);
 }
 
-static void send_note(mesh_t *mesh, roster_note_t *note, uint32_t address)
+static void send_note(mesh_t *mesh, gossip_message_t *note, uint32_t address)
 {
 	net_address_t to = { address, mesh->note_port };
 	uint8_t bytes[PACKET_BYTES_MAX];
@@ -89,9 +89,9 @@
 	int length;
 
 	note->stamp = now;
-	note->echo = roster_stamp_of(mesh->roster, address);
+	note->echo = peers_last_stamp(mesh->roster, address);
 	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++)
-		note->copies[kind] = (roster_copy_t){
+		note->replicas[kind] = (gossip_replica_t){
 			mesh->mirrors[kind].revision,
 			replica_age(&mesh->mirrors[kind], now),
 		};
@@ -119,7 +119,7 @@
 
 static bool may_send(mesh_t *mesh, pimento_usec_t now)
 {
-	double kept = roster_has_news(mesh->roster)
+	double kept = peers_has_update_backlog(mesh->roster)
 			      ? 0
 			      : NOTE_BYTES_SAVED - NOTE_BYTES;
 
@@ -129,17 +129,17 @@
 
 static void send_notes(mesh_t *mesh, pimento_usec_t now)
 {
-	roster_peer_t *targets[MESH_TARGETS];
-	roster_note_t note = { 0 };
+	peer_t *targets[MESH_TARGETS];
+	gossip_message_t note = { 0 };
 	uint32_t count;
 
 	if (!may_send(mesh, now))
 		return;
-	roster_tell_members(mesh->roster, &note);
+	peers_put_membership(mesh->roster, &note);
 	write_note(mesh, &note, now);
 	/* an age counts only in an answer: it echoes a stamp that is young */
-	note.pull = true;
-	count = roster_targets(mesh->roster, now, MESH_TARGETS, targets);
+	note.reply_wanted = true;
+	count = peers_next_targets(mesh->roster, now, MESH_TARGETS, targets);
 	for (uint32_t i = 0; i < count && may_send(mesh, now); i++)
 		send_note(mesh, &note, targets[i]->address);
 }
@@ -147,10 +147,10 @@
 /* Sends the probes and acks that are due. */
 static void send_probes(mesh_t *mesh, pimento_usec_t now)
 {
-	roster_note_t note = { 0 };
+	gossip_message_t note = { 0 };
 	uint32_t address;
 
-	while (roster_next_probe(mesh->roster, &address, &note)) {
+	while (peers_next_probe(mesh->roster, &address, &note)) {
 		write_note(mesh, &note, now);
 		send_note(mesh, &note, address);
 	}
@@ -158,36 +158,36 @@
 
 static void answer_pull(mesh_t *mesh, uint32_t address, pimento_usec_t now)
 {
-	roster_note_t note = { 0 };
+	gossip_message_t note = { 0 };
 
 	if (!may_send(mesh, now))
 		return;
-	roster_tell_members(mesh->roster, &note);
+	peers_put_membership(mesh->roster, &note);
 	write_note(mesh, &note, now);
 	send_note(mesh, &note, address);
 }
 
-static void take_note(mesh_t *mesh, const roster_note_t *note,
+static void take_note(mesh_t *mesh, const gossip_message_t *note,
 		      pimento_usec_t now)
 {
 	pimento_usec_t fresh[REPLICA_KIND_COUNT];
 
 	mesh->notes_in++;
-	if (!roster_receive(mesh->roster, note, now, fresh))
+	if (!peers_receive(mesh->roster, note, now, fresh))
 		return;
 	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++) {
 		if (fresh[kind] == INT64_MIN)
 			continue;
 		replica_store_answered(&mesh->mirrors[kind], fresh[kind], now);
 		replica_confirm(&mesh->mirrors[kind],
-				note->copies[kind].revision, fresh[kind]);
+				note->replicas[kind].revision, fresh[kind]);
 	}
 	slots_hear(mesh->slots, note, now);
 	for (uint32_t i = 0; i < note->quota_count; i++)
 		quota_apply_report(&mesh->quota->owned, note->quotas[i].account,
 				   note->quotas[i].level,
 				   now - note->quotas[i].age);
-	if (note->pull)
+	if (note->reply_wanted)
 		answer_pull(mesh, note->address, now);
 }
 
@@ -415,25 +415,23 @@
 }
 
 /* A peer that holds newer records, by chance; NULL if there is none. */
-static const roster_peer_t *newer_peer(const mesh_fetch_t *fetch,
-				       pimento_usec_t now)
+static const peer_t *newer_peer(const mesh_fetch_t *fetch, pimento_usec_t now)
 {
-	const roster_t *roster = fetch->mesh->roster;
+	const peers_t *roster = fetch->mesh->roster;
 	uint64_t revision = fetch->mesh->mirrors[fetch->kind].revision;
 	uint32_t start = roster->count ? (uint32_t)sys_random() : 0;
 
 	for (uint32_t i = 0; i < roster->count; i++) {
-		const roster_peer_t *peer =
-			roster->peers[(start + i) % roster->count];
+		const peer_t *peer = roster->list[(start + i) % roster->count];
 
-		if (roster_believed(peer, now) &&
+		if (peers_is_current(peer, now) &&
 		    peer->revisions[fetch->kind] > revision)
 			return peer;
 	}
 	return NULL;
 }
 
-static void begin_fetch(mesh_fetch_t *fetch, const roster_peer_t *peer,
+static void begin_fetch(mesh_fetch_t *fetch, const peer_t *peer,
 			pimento_usec_t now)
 {
 	mesh_t *mesh = fetch->mesh;
@@ -450,7 +448,7 @@
 static void catch_up(mesh_fetch_t *fetch, pimento_usec_t now)
 {
 	const replica_t *replica = &fetch->mesh->mirrors[fetch->kind];
-	const roster_peer_t *peer;
+	const peer_t *peer;
 
 	if (fetch->conn) {
 		if (!progress_stalled(&fetch->progress, FETCH_IDLE_MAX, now))
@@ -473,15 +471,15 @@
 /* One line a second at most, however many hosts come and go. */
 static void log_members(mesh_t *mesh, pimento_usec_t now)
 {
-	uint64_t changes = roster_changes(mesh->roster);
+	uint64_t changes = peers_owner_changes(mesh->roster);
 
 	if (changes == mesh->changes_logged ||
 	    now - mesh->members_logged_at < PIMENTO_SEC)
 		return;
 	trail(TRAIL_STATE, "mesh", "members",
 	      "live=%u reachable=%.2f changes=%llu owners_changed=%llu",
-	      roster_live(mesh->roster),
-	      roster_part(mesh->roster, MESH_LOST_LATELY, now),
+	      peers_live_count(mesh->roster),
+	      peers_known_live_share(mesh->roster, MESH_LOST_LATELY, now),
 	      (unsigned long long)(changes - mesh->changes_logged),
 	      (unsigned long long)mesh->slots->owners_changed);
 	mesh->changes_logged = changes;
@@ -490,7 +488,7 @@
 
 void mesh_probe(mesh_t *mesh, pimento_usec_t now)
 {
-	roster_tick(mesh->roster, now);
+	peers_tick(mesh->roster, now);
 	send_probes(mesh, now);
 	quota_fleet_tick(mesh->quota, now);
 }
@@ -526,7 +524,7 @@
 	net_address_t address;
 
 	if (net_parse(text, &address) ||
-	    roster_add(mesh->roster, address.ip, true, now))
+	    peers_add(mesh->roster, address.ip, true, now))
 		trail(TRAIL_STATE, "mesh", "bad_seed", "seed=%s", text);
 }
 
@@ -558,7 +556,7 @@
 	mesh->note_port = setup->note_port;
 	mesh->peer_port = setup->listen.port;
 	mesh->roster = setup->roster;
-	mesh->incarnation = roster_incarnation(setup->roster);
+	mesh->incarnation = peers_incarnation(setup->roster);
 	mesh->mirrors = setup->mirrors;
 	mesh->registry = setup->registry;
 	mesh->quota = setup->quota;
--- a/io/mesh.h
+++ b/io/mesh.h
@@ -16,7 +16,7 @@
 #include "../src/registry.h"
 #include "../src/replica.h"
 #include "../src/progress.h"
-#include "../src/roster.h"
+#include "../src/peers.h"
 
 /* Hosts that died longer ago do not count as out of reach in what is shown. */
 #define MESH_LOST_LATELY (20 * PIMENTO_SEC)
@@ -44,7 +44,7 @@
 	uint16_t note_port;
 	uint16_t peer_port;
 	uint64_t incarnation;
-	roster_t *roster;
+	peers_t *roster;
 	replica_t *mirrors; /* indexed by replica_kind_t */
 	registry_t *registry;
 	quota_fleet_t *quota;
@@ -71,7 +71,7 @@
 	struct ev_loop *loop;
 	net_address_t listen; /* of peers */
 	uint16_t note_port; /* the same on all hosts */
-	roster_t *roster;
+	peers_t *roster;
 	replica_t *mirrors; /* indexed by replica_kind_t */
 	registry_t *registry;
 	quota_fleet_t *quota;
--- a/io/metrics.c
+++ b/io/metrics.c
@@ -95,9 +95,10 @@
 	histogram(text, "first_byte_seconds", &counters->first);
 	histogram(text, "wait_seconds", &counters->waited);
 	services(text, gateway, sources->now);
-	gauge(text, "peers", roster_hosts(gateway->roster, sources->now));
-	gauge(text, "hosts_live", roster_live(gateway->roster));
+	gauge(text, "peers", peers_host_count(gateway->roster, sources->now));
+	gauge(text, "hosts_live", peers_live_count(gateway->roster));
 	gauge(text, "hosts_reachable_part",
-	      roster_part(gateway->roster, MESH_LOST_LATELY, sources->now));
-	gauge(text, "store_readers", gateway->roster->reader_count);
+	      peers_known_live_share(gateway->roster, MESH_LOST_LATELY,
+				     sources->now));
+	gauge(text, "store_readers", gateway->roster->poller_count);
 }
--- a/io/placing.c
+++ b/io/placing.c
@@ -183,7 +183,7 @@
 static bool is_owned(const exchange_t *x, const registry_endpoint_t *endpoint,
 		     pimento_usec_t now)
 {
-	return roster_hosts(x->gateway->roster, now) > 1 &&
+	return peers_host_count(x->gateway->roster, now) > 1 &&
 	       endpoint->owner_unresponsive_until <= now;
 }
 
@@ -272,7 +272,7 @@
 				  .unconditional = true };
 
 	x->granted = false;
-	if (roster_hosts(x->gateway->roster, now) > 1) {
+	if (peers_host_count(x->gateway->roster, now) > 1) {
 		x->place.ticket = told.ticket;
 		x->place.endpoint = endpoint;
 		endpoint->refs++;
--- a/io/platform.c
+++ b/io/platform.c
@@ -66,7 +66,7 @@
 static uint64_t in_force(const control_t *control, bool hosts)
 {
 	return hosts ? control->host->membership.hosts_revision
-		     : control->host->membership.revision;
+		     : control->host->membership.config_revision;
 }
 
 static void run_plan(control_t *control, void *argument)
--- a/io/slots.c
+++ b/io/slots.c
@@ -5,7 +5,7 @@
 /* A report that is older is not passed on. */
 #define RELAY_AGE (1200 * PIMENTO_MSEC)
 
-void slots_init(slots_t *slots, registry_t *registry, roster_t *roster,
+void slots_init(slots_t *slots, registry_t *registry, peers_t *roster,
 		uint32_t self)
 {
 	*slots = (slots_t){
@@ -41,12 +41,12 @@
 
 static uint32_t owner_of(slots_t *slots, registry_endpoint_t *endpoint)
 {
-	uint64_t epoch = roster_changes(slots->roster) + 1;
+	uint64_t epoch = peers_owner_changes(slots->roster) + 1;
 	uint32_t owner;
 
 	if (endpoint->owner_epoch == epoch)
 		return endpoint->owner;
-	owner = roster_owner(slots->roster, endpoint->key);
+	owner = peers_owner(slots->roster, endpoint->key);
 	if (endpoint->owner != owner) {
 		slots->owners_changed++;
 		endpoint->reported_at = 0; /* the new one is to know at once */
@@ -310,7 +310,7 @@
 	send_packet(slots, endpoint->owner, &packet);
 }
 
-static void say_own(slots_t *slots, roster_note_t *note, pimento_usec_t now)
+static void say_own(slots_t *slots, gossip_message_t *note, pimento_usec_t now)
 {
 	const registry_t *registry = slots->registry;
 
@@ -318,18 +318,19 @@
 		registry_endpoint_t *e = registry->endpoints[i];
 		uint32_t key = (uint32_t)e->key;
 
-		if (note->owned_count == ROSTER_OWNED_MAX ||
+		if (note->owner_report_count == GOSSIP_OWNER_REPORTS_MAX ||
 		    owner_of(slots, e) != slots->self ||
 		    !grants_has_endpoint(&slots->grants, key))
 			continue;
-		note->owned[note->owned_count++] = (roster_owned_t){
-			.endpoint = key,
-			.word = word_of(slots, e, now),
-		};
+		note->owner_reports[note->owner_report_count++] =
+			(gossip_owner_report_t){
+				.endpoint = key,
+				.report = word_of(slots, e, now),
+			};
 	}
 }
 
-static void relay_others(slots_t *slots, roster_note_t *note,
+static void relay_others(slots_t *slots, gossip_message_t *note,
 			 pimento_usec_t now)
 {
 	const registry_t *registry = slots->registry;
@@ -339,34 +340,36 @@
 			registry->endpoints[slots->relay_turn++ %
 					    registry->count];
 
-		if (note->owned_count == ROSTER_OWNED_MAX)
+		if (note->owner_report_count == GOSSIP_OWNER_REPORTS_MAX)
 			return;
 		if (!e->report_at || now - e->report_at > RELAY_AGE ||
 		    owner_of(slots, e) == slots->self)
 			continue;
-		note->owned[note->owned_count++] = (roster_owned_t){
-			.endpoint = (uint32_t)e->key,
-			.age = now - e->report_at,
-			.word = e->report,
-		};
+		note->owner_reports[note->owner_report_count++] =
+			(gossip_owner_report_t){
+				.endpoint = (uint32_t)e->key,
+				.age = now - e->report_at,
+				.report = e->report,
+			};
 	}
 }
 
-void slots_say(slots_t *slots, roster_note_t *note, pimento_usec_t now)
+void slots_say(slots_t *slots, gossip_message_t *note, pimento_usec_t now)
 {
 	say_own(slots, note, now);
 	relay_others(slots, note, now);
 }
 
-void slots_hear(slots_t *slots, const roster_note_t *note, pimento_usec_t now)
+void slots_hear(slots_t *slots, const gossip_message_t *note,
+		pimento_usec_t now)
 {
-	for (uint32_t i = 0; i < note->owned_count; i++) {
-		const roster_owned_t *owned = &note->owned[i];
+	for (uint32_t i = 0; i < note->owner_report_count; i++) {
+		const gossip_owner_report_t *owned = &note->owner_reports[i];
 		registry_endpoint_t *e = endpoint_of(slots, owned->endpoint);
 		pimento_usec_t at = now - owned->age;
 
 		if (e && at > e->report_at && owner_of(slots, e) != slots->self)
-			registry_apply_report(e, &owned->word, at);
+			registry_apply_report(e, &owned->report, at);
 	}
 }
 
--- a/io/slots.h
+++ b/io/slots.h
@@ -15,7 +15,7 @@
 typedef struct slots {
 	grants_t grants;
 	registry_t *registry;
-	roster_t *roster;
+	peers_t *roster;
 	int fd; /* datagrams; borrowed */
 	uint16_t port; /* of every host */
 	uint32_t self;
@@ -28,7 +28,7 @@
 	uint32_t relay_turn; /* of endpoints whose reports are passed on */
 } slots_t;
 
-void slots_init(slots_t *slots, registry_t *registry, roster_t *roster,
+void slots_init(slots_t *slots, registry_t *registry, peers_t *roster,
 		uint32_t self);
 void slots_finish(slots_t *slots);
 
@@ -43,8 +43,9 @@
  * What this host's note says of the endpoints that it keeps, and of others what
  * their owners reported lately.
  */
-void slots_say(slots_t *slots, roster_note_t *note, pimento_usec_t now);
-void slots_hear(slots_t *slots, const roster_note_t *note, pimento_usec_t now);
+void slots_say(slots_t *slots, gossip_message_t *note, pimento_usec_t now);
+void slots_hear(slots_t *slots, const gossip_message_t *note,
+		pimento_usec_t now);
 
 /* A datagram of another host. */
 void slots_take(slots_t *slots, const packet_t *packet, pimento_usec_t now);
--- a/io/status.c
+++ b/io/status.c
@@ -57,10 +57,10 @@
 		json_array_append_new(
 			list, json_pack("{s:s, s:s, s:s, s:o}", "name", h->name,
 					"datacentre", h->datacentre, "state",
-					host_states[member_state(
+					host_states[membership_state(
 						&host->membership, h->id)],
 					"incarnation",
-					hex(member_incarnation(
+					hex(membership_incarnation(
 						&host->membership, h->id))));
 	}
 	return list;
@@ -176,7 +176,7 @@
 		{ "config_switches_total", "", host->config_switches },
 		{ "config_refused_revision", "",
 		  host->rejected_config_revision },
-		{ "config_revision", "", host->membership.revision },
+		{ "config_revision", "", host->membership.config_revision },
 		{ "hosts_revision", "", host->membership.hosts_revision },
 		{ "pauses_total", "", host->membership.pauses },
 		{ "keys_witnessed", "", host->witness.count },
--- a/src/entry.c
+++ b/src/entry.c
@@ -25,7 +25,7 @@
 #define CLAIM_STEP_TIMEOUT (400 * PIMENTO_MSEC)
 
 int entry_init(entry_table_t *table, const entry_options_t *options,
-	       route_t *route, member_t *membership, outbox_t *out)
+	       route_t *route, membership_t *membership, outbox_t *out)
 {
 	memset(table, 0, sizeof(*table));
 	table->options = *options;
--- a/src/entry.h
+++ b/src/entry.h
@@ -7,7 +7,7 @@
  */
 
 #include "claim.h"
-#include "member.h"
+#include "membership.h"
 #include "route.h"
 
 /*
@@ -96,7 +96,7 @@
 typedef struct entry_table {
 	entry_options_t options;
 	route_t *route;
-	member_t *membership;
+	membership_t *membership;
 	outbox_t *out;
 	entry_t *entries;
 	uint32_t *free_list;
@@ -116,7 +116,7 @@
 
 /* route, membership and out are borrowed. Returns 0 or PIMENTO_ENOMEM. */
 int entry_init(entry_table_t *table, const entry_options_t *options,
-	       route_t *route, member_t *membership, outbox_t *out);
+	       route_t *route, membership_t *membership, outbox_t *out);
 void entry_finish(entry_table_t *table);
 
 /*
--- a/src/entry_reserve.c
+++ b/src/entry_reserve.c
@@ -56,7 +56,7 @@
 	entry->round++;
 	entry->endpoint = endpoint;
 	entry->hops = hops;
-	entry->owner = member_owner(table->membership, endpoint);
+	entry->owner = membership_owner(table->membership, endpoint);
 	if (!entry->owner)
 		entry->owner = table->options.self;
 	entry->last_reply_at = 0;
@@ -408,7 +408,7 @@
 
 		if (entry->state == ENTRY_FREE || !entry->endpoint)
 			continue;
-		owner = member_owner(table->membership, entry->endpoint);
+		owner = membership_owner(table->membership, entry->endpoint);
 		if (entry->state == ENTRY_RESERVING ||
 		    entry->state == ENTRY_WAITING)
 			move_reservation(table, now, entry, owner);
--- a/src/host.c
+++ b/src/host.c
@@ -73,10 +73,11 @@
 static int init_modules(pimento_host_t *host, pimento_usec_t now)
 {
 	const pimento_host_options_t *o = &host->options;
-	member_options_t member = { .self = host->self,
-				    .incarnation = o->incarnation,
-				    .seed = o->seed + 1 };
-	spread_options_t spread = { .self = host->self, .seed = o->seed + 2 };
+	membership_options_t member = { .self = host->self,
+					.incarnation = o->incarnation,
+					.seed = o->seed + 1 };
+	config_sync_options_t spread = { .self = host->self,
+					 .seed = o->seed + 2 };
 	owner_options_t owner = { .self = host->self,
 				  .seed = o->seed + 3,
 				  .waiting_max = o->waiting_max };
@@ -91,9 +92,10 @@
 	int error = outbox_init(&host->out, OUTBOX_CAPACITY);
 
 	if (!error)
-		error = member_init(&host->membership, &member, &host->out);
+		error = membership_init(&host->membership, &member, &host->out);
 	if (!error)
-		error = spread_init(&host->config_sync, &spread, &host->out);
+		error = config_sync_init(&host->config_sync, &spread,
+					 &host->out);
 	if (!error)
 		error = owner_init(&host->owner, &owner, &host->out);
 	if (!error)
@@ -133,8 +135,8 @@
 	witness_finish(&host->witness);
 	route_finish(&host->route);
 	owner_finish(&host->owner);
-	spread_finish(&host->config_sync);
-	member_finish(&host->membership);
+	config_sync_finish(&host->config_sync);
+	membership_finish(&host->membership);
 	outbox_finish(&host->out);
 	pimento_config_unref(host->config);
 	hostlist_finish(&host->hosts);
@@ -163,10 +165,10 @@
 			    host_endpoint_t *endpoint, double share)
 {
 	pimento_id_t id = endpoint->config->id;
-	pimento_id_t owner = member_owner(&host->membership, id);
+	pimento_id_t owner = membership_owner(&host->membership, id);
 	bool was_ours = endpoint->owner == host->self;
 	bool is_ours = owner == host->self;
-	bool leaving = member_state(&host->membership, id) == HOST_LEAVING;
+	bool leaving = membership_state(&host->membership, id) == HOST_LEAVING;
 
 	endpoint->owner = owner;
 	if (was_ours && !is_ours)
@@ -188,9 +190,9 @@
 /* Rendezvous over the hosts in sight; each host does this by itself. */
 static void assign_owners(pimento_host_t *host, pimento_usec_t now)
 {
-	double share = member_share(&host->membership);
+	double share = membership_published_live_share(&host->membership);
 
-	host->applied_changes = host->membership.changes;
+	host->applied_changes = host->membership.owner_changes;
 	for (uint32_t i = 0; i < host->endpoint_count; i++)
 		assign_endpoint(host, now, &host->endpoints[i], share);
 	entry_owners_changed(&host->entries, now);
@@ -313,7 +315,7 @@
 	list.revision = revision;
 	hostlist_finish(&host->hosts);
 	host->hosts = list;
-	member_publish(&host->membership, now, &host->hosts);
+	membership_apply_hostlist(&host->membership, now, &host->hosts);
 	witness_adopt_hostlist(&host->witness, now, &host->hosts, host->self);
 	host->hosts_changed = true;
 	assign_owners(host, now);
@@ -330,7 +332,7 @@
 	for (size_t i = 0; i < sizeof(subjects) / sizeof(subjects[0]); i++) {
 		uint64_t revision;
 		size_t length;
-		const char *text = spread_pending(
+		const char *text = config_sync_pending(
 			&host->config_sync, subjects[i], &revision, &length);
 		int error;
 
@@ -341,14 +343,15 @@
 						 length)
 				: apply_config(host, now, revision, text,
 					       length);
-		spread_judge(&host->config_sync, now, subjects[i], !error);
+		config_sync_resolve_pending(&host->config_sync, now,
+					    subjects[i], !error);
 		if (error)
 			result = error;
 	}
-	host->membership.revision =
-		spread_revision(&host->config_sync, CONFIG_SYNC_CONFIG);
+	host->membership.config_revision =
+		config_sync_revision(&host->config_sync, CONFIG_SYNC_CONFIG);
 	host->membership.hosts_revision =
-		spread_revision(&host->config_sync, CONFIG_SYNC_HOSTS);
+		config_sync_revision(&host->config_sync, CONFIG_SYNC_HOSTS);
 	return result;
 }
 
@@ -358,8 +361,8 @@
 {
 	config_sync_subject_t subject =
 		hosts ? CONFIG_SYNC_HOSTS : CONFIG_SYNC_CONFIG;
-	int error = spread_read(&host->config_sync, now, subject, revision,
-				text, length);
+	int error = config_sync_submit(&host->config_sync, now, subject,
+				       revision, text, length);
 
 	host->now = now;
 	if (error)
@@ -371,21 +374,22 @@
 				  pimento_usec_t begun)
 {
 	host->now = now;
-	member_refreshed(&host->membership, now, begun);
+	membership_platform_read_done(&host->membership, now, begun);
 }
 
 bool pimento_host_is_current(const pimento_host_t *host)
 {
-	return member_fresh(&host->membership, host->now);
+	return membership_is_fresh(&host->membership, host->now);
 }
 
 bool pimento_host_should_watch(const pimento_host_t *host,
 			       pimento_usec_t *interval)
 {
 	pimento_id_t live[LIVE_HOSTS_MAX];
-	uint32_t count = member_live(&host->membership, live, LIVE_HOSTS_MAX);
+	uint32_t count =
+		membership_live_hosts(&host->membership, live, LIVE_HOSTS_MAX);
 
-	return spread_reader(&host->config_sync, live, count, interval);
+	return config_sync_is_poller(&host->config_sync, live, count, interval);
 }
 
 static int resolve_key_witnesses(pimento_host_t *host,
@@ -423,7 +427,7 @@
 	 * A process that stood still may hold a configuration that was replaced
 	 * meanwhile, and would serve under it as if it were in force.
 	 */
-	if (!host->config || !member_fresh(&host->membership, now))
+	if (!host->config || !membership_is_fresh(&host->membership, now))
 		return PIMENTO_EUNREADY;
 	if (request->tier >= PIMENTO_TIERS_MAX || request->client_timeout <= 0)
 		return PIMENTO_EINVAL;
@@ -490,15 +494,19 @@
 		return PIMENTO_OK;
 	case MESSAGE_PROBE:
 	case MESSAGE_ACK:
-		spread_heard(&host->config_sync, now, from, CONFIG_SYNC_CONFIG,
-			     message->u.probe.revision);
-		spread_heard(&host->config_sync, now, from, CONFIG_SYNC_HOSTS,
-			     message->u.probe.hosts_revision);
-		return member_receive(&host->membership, now, from, message);
+		config_sync_learn_revision(&host->config_sync, now, from,
+					   CONFIG_SYNC_CONFIG,
+					   message->u.probe.revision);
+		config_sync_learn_revision(&host->config_sync, now, from,
+					   CONFIG_SYNC_HOSTS,
+					   message->u.probe.hosts_revision);
+		return membership_receive(&host->membership, now, from,
+					  message);
 	case MESSAGE_OFFER:
 	case MESSAGE_PULL:
 	case MESSAGE_PART:
-		return spread_receive(&host->config_sync, now, from, message);
+		return config_sync_receive(&host->config_sync, now, from,
+					   message);
 	case MESSAGE_NONE:
 	case MESSAGE_KINDS:
 	default:
@@ -514,11 +522,11 @@
 	host->now = now;
 	if (from == host->self || !from)
 		return PIMENTO_EINVAL;
-	member_meet(&host->membership, now, from);
-	member_heard(&host->membership, now, from);
+	membership_add_host(&host->membership, now, from);
+	membership_host_seen(&host->membership, now, from);
 	error = handle_message(host, now, from, message);
 	apply_pending_updates(host, now);
-	if (host->membership.changes != host->applied_changes)
+	if (host->membership.owner_changes != host->applied_changes)
 		assign_owners(host, now);
 	return error;
 }
@@ -538,12 +546,12 @@
 	host->now = now;
 	owner_load_report(&host->owner, now, endpoint, &report);
 	if (leaving)
-		member_endpoint_leaving(&host->membership, now, endpoint,
-					incarnation);
+		membership_endpoint_leaving(&host->membership, now, endpoint,
+					    incarnation);
 	else
-		member_endpoint_live(&host->membership, now, endpoint,
-				     incarnation);
-	if (host->membership.changes != host->applied_changes)
+		membership_endpoint_live(&host->membership, now, endpoint,
+					 incarnation);
+	if (host->membership.owner_changes != host->applied_changes)
 		assign_owners(host, now);
 }
 
@@ -551,7 +559,7 @@
 {
 	host->now = now;
 	host->leaving = true;
-	member_leave(&host->membership, now);
+	membership_leave(&host->membership, now);
 	assign_owners(host, now);
 }
 
@@ -566,7 +574,8 @@
 	message_t message = { .kind = MESSAGE_DIGEST };
 	message_digest_t *digest = &message.u.digest;
 	pimento_id_t live[LIVE_HOSTS_MAX];
-	uint32_t peers = member_live(&host->membership, live, LIVE_HOSTS_MAX);
+	uint32_t peers =
+		membership_live_hosts(&host->membership, live, LIVE_HOSTS_MAX);
 
 	for (uint32_t i = 0;
 	     i < host->endpoint_count && digest->count < MESSAGE_SUMMARIES_MAX;
@@ -594,11 +603,11 @@
 void pimento_host_tick(pimento_host_t *host, pimento_usec_t now)
 {
 	host->now = now;
-	member_tick(&host->membership, now);
-	spread_tick(&host->config_sync, now);
+	membership_tick(&host->membership, now);
+	config_sync_tick(&host->config_sync, now);
 	witness_tick(&host->witness, now);
 	apply_pending_updates(host, now);
-	if (host->membership.changes != host->applied_changes)
+	if (host->membership.owner_changes != host->applied_changes)
 		assign_owners(host, now);
 	owner_tick(&host->owner, now);
 	entry_tick(&host->entries, now);
@@ -617,8 +626,8 @@
 {
 	pimento_usec_t due = host->next_digest;
 
-	due = usec_min(due, member_deadline(&host->membership));
-	due = usec_min(due, spread_deadline(&host->config_sync));
+	due = usec_min(due, membership_deadline(&host->membership));
+	due = usec_min(due, config_sync_deadline(&host->config_sync));
 	due = usec_min(due, owner_deadline(&host->owner));
 	return usec_min(due, host->entries.next_wake);
 }
@@ -682,7 +691,8 @@
 			     witness_set_t *set)
 {
 	pimento_id_t live[LIVE_HOSTS_MAX];
-	uint32_t count = member_live(&host->membership, live, LIVE_HOSTS_MAX);
+	uint32_t count =
+		membership_live_hosts(&host->membership, live, LIVE_HOSTS_MAX);
 
 	memset(set, 0, sizeof(*set));
 	set->hosts[0] = host->self;
@@ -691,7 +701,7 @@
 	for (uint32_t i = 0; i < count && set->count < KEY_WITNESSES; i++) {
 		pimento_id_t id = live[(start + i) % count];
 		uint64_t incarnation =
-			member_incarnation(&host->membership, id);
+			membership_incarnation(&host->membership, id);
 
 		if (id == host->self || !incarnation)
 			continue;
@@ -734,7 +744,7 @@
 	witness_set_t set;
 
 	if (host->leaving || !host->config ||
-	    !member_fresh(&host->membership, now))
+	    !membership_is_fresh(&host->membership, now))
 		return false;
 	choose_witnesses(host, 0, &set);
 	return enough_witnesses(host, &set) ||
@@ -748,7 +758,7 @@
 	message->kind = MESSAGE_PROBE;
 	memset(probe, 0, sizeof(*probe));
 	probe->incarnation = host->options.incarnation;
-	probe->revision = host->membership.revision;
+	probe->revision = host->membership.config_revision;
 	probe->hosts_revision = host->membership.hosts_revision;
 }
 
--- a/src/host.h
+++ b/src/host.h
@@ -8,10 +8,10 @@
 #include "claim.h"
 #include "config.h"
 #include "entry.h"
-#include "member.h"
+#include "membership.h"
 #include "owner.h"
 #include "route.h"
-#include "spread.h"
+#include "config_sync.h"
 
 /* An endpoint of the configuration in force, and who owns it. */
 typedef struct host_endpoint {
@@ -26,8 +26,8 @@
 	pimento_id_t self;
 	pimento_random_t random;
 	outbox_t out;
-	member_t membership;
-	spread_t config_sync;
+	membership_t membership;
+	config_sync_t config_sync;
 	owner_t owner;
 	route_t route;
 	witness_t witness;
--- a/src/packet.c
+++ b/src/packet.c
@@ -7,16 +7,16 @@
 #define AGE_MS_UNKNOWN UINT32_MAX
 
 typedef struct scratch {
-	Peer__Load loads[ROSTER_LOADS_MAX];
-	Peer__Load *load_pointers[ROSTER_LOADS_MAX];
-	Peer__Quota quotas[ROSTER_QUOTAS_MAX];
-	Peer__Quota *quota_pointers[ROSTER_QUOTAS_MAX];
-	Peer__Owned owned[ROSTER_OWNED_MAX];
-	Peer__Owned *owned_pointers[ROSTER_OWNED_MAX];
+	Peer__Load loads[GOSSIP_LOADS_MAX];
+	Peer__Load *load_pointers[GOSSIP_LOADS_MAX];
+	Peer__Quota quotas[GOSSIP_QUOTAS_MAX];
+	Peer__Quota *quota_pointers[GOSSIP_QUOTAS_MAX];
+	Peer__Owned owned[GOSSIP_OWNER_REPORTS_MAX];
+	Peer__Owned *owned_pointers[GOSSIP_OWNER_REPORTS_MAX];
 	Peer__Fact facts[MESSAGE_FACTS_MAX];
 	Peer__Fact *fact_pointers[MESSAGE_FACTS_MAX];
-	Peer__Reader readers[ROSTER_READERS_MAX];
-	Peer__Reader *reader_pointers[ROSTER_READERS_MAX];
+	Peer__Reader readers[GOSSIP_POLLERS_MAX];
+	Peer__Reader *reader_pointers[GOSSIP_POLLERS_MAX];
 } scratch_t;
 
 static uint32_t encode_age_ms(pimento_usec_t age)
@@ -31,7 +31,7 @@
 	return tokens > 0 ? (uint64_t)tokens : 0;
 }
 
-static void fill_membership(Peer__Note *message, const roster_note_t *gossip,
+static void fill_membership(Peer__Note *message, const gossip_message_t *gossip,
 			    scratch_t *scratch)
 {
 	const message_probe_t *membership = &gossip->membership;
@@ -46,32 +46,32 @@
 		scratch->facts[i].state = fact->state;
 		scratch->fact_pointers[i] = &scratch->facts[i];
 	}
-	for (uint32_t i = 0; i < gossip->reader_count; i++) {
+	for (uint32_t i = 0; i < gossip->poller_count; i++) {
 		peer__reader__init(&scratch->readers[i]);
-		scratch->readers[i].address = gossip->readers[i].address;
+		scratch->readers[i].address = gossip->pollers[i].address;
 		scratch->readers[i].age_ms =
-			encode_age_ms(gossip->readers[i].age);
+			encode_age_ms(gossip->pollers[i].age);
 		scratch->reader_pointers[i] = &scratch->readers[i];
 	}
-	message->probe = gossip->probe;
-	message->pull = gossip->pull;
+	message->probe = gossip->probe_kind;
+	message->pull = gossip->reply_wanted;
 	message->sequence = membership->sequence;
 	message->target = (uint32_t)membership->target;
 	message->settled = membership->revision != 0;
 	message->n_facts = membership->count;
 	message->facts = scratch->fact_pointers;
-	message->n_readers = gossip->reader_count;
+	message->n_readers = gossip->poller_count;
 	message->readers = scratch->reader_pointers;
 }
 
-static void fill_reports(Peer__Note *message, const roster_note_t *gossip,
+static void fill_reports(Peer__Note *message, const gossip_message_t *gossip,
 			 scratch_t *scratch)
 {
 	for (uint32_t i = 0; i < gossip->load_count; i++) {
 		peer__load__init(&scratch->loads[i]);
 		scratch->loads[i].endpoint = gossip->loads[i].endpoint;
 		scratch->loads[i].running = gossip->loads[i].running;
-		scratch->loads[i].reading = gossip->loads[i].reading;
+		scratch->loads[i].reading = gossip->loads[i].prefill_tokens;
 		scratch->load_pointers[i] = &scratch->loads[i];
 	}
 	for (uint32_t i = 0; i < gossip->quota_count; i++) {
@@ -83,19 +83,24 @@
 			(uint32_t)(gossip->quotas[i].age / PIMENTO_MSEC);
 		scratch->quota_pointers[i] = &scratch->quotas[i];
 	}
-	for (uint32_t i = 0; i < gossip->owned_count; i++) {
+	for (uint32_t i = 0; i < gossip->owner_report_count; i++) {
 		peer__owned__init(&scratch->owned[i]);
-		scratch->owned[i].endpoint = gossip->owned[i].endpoint;
-		scratch->owned[i].running = gossip->owned[i].word.running;
-		scratch->owned[i].waiting = gossip->owned[i].word.waiting;
-		scratch->owned[i].gap_us = gossip->owned[i].word.event_gap_us;
-		scratch->owned[i].ejected_ms = gossip->owned[i].word.ejected_ms;
-		scratch->owned[i].doubtful = gossip->owned[i].word.unreachable;
+		scratch->owned[i].endpoint = gossip->owner_reports[i].endpoint;
+		scratch->owned[i].running =
+			gossip->owner_reports[i].report.running;
+		scratch->owned[i].waiting =
+			gossip->owner_reports[i].report.waiting;
+		scratch->owned[i].gap_us =
+			gossip->owner_reports[i].report.event_gap_us;
+		scratch->owned[i].ejected_ms =
+			gossip->owner_reports[i].report.ejected_ms;
+		scratch->owned[i].doubtful =
+			gossip->owner_reports[i].report.unreachable;
 		scratch->owned[i].age_ms =
-			(uint32_t)(gossip->owned[i].age / PIMENTO_MSEC);
+			(uint32_t)(gossip->owner_reports[i].age / PIMENTO_MSEC);
 		scratch->owned_pointers[i] = &scratch->owned[i];
 	}
-	message->n_owned = gossip->owned_count;
+	message->n_owned = gossip->owner_report_count;
 	message->owned = scratch->owned_pointers;
 	message->n_loads = gossip->load_count;
 	message->loads = scratch->load_pointers;
@@ -139,7 +144,8 @@
 	trim_list(message, size, &out->n_quotas, 0);
 }
 
-static int pack_gossip(const roster_note_t *gossip, uint8_t *bytes, size_t size)
+static int pack_gossip(const gossip_message_t *gossip, uint8_t *bytes,
+		       size_t size)
 {
 	Peer__Packet message = PEER__PACKET__INIT;
 	Peer__Note out = PEER__NOTE__INIT;
@@ -150,11 +156,11 @@
 	out.stamp = (uint64_t)gossip->stamp;
 	out.echo = (uint64_t)gossip->echo;
 	out.fresh_age_ms =
-		encode_age_ms(gossip->copies[REPLICA_CONFIGURATION].age);
-	out.revision = gossip->copies[REPLICA_CONFIGURATION].revision;
+		encode_age_ms(gossip->replicas[REPLICA_CONFIGURATION].age);
+	out.revision = gossip->replicas[REPLICA_CONFIGURATION].revision;
 	out.endpoints_age_ms =
-		encode_age_ms(gossip->copies[REPLICA_ENDPOINTS].age);
-	out.endpoints_revision = gossip->copies[REPLICA_ENDPOINTS].revision;
+		encode_age_ms(gossip->replicas[REPLICA_ENDPOINTS].age);
+	out.endpoints_revision = gossip->replicas[REPLICA_ENDPOINTS].revision;
 	fill_reports(&out, gossip, &scratch);
 	fill_membership(&out, gossip, &scratch);
 	message.content_case = PEER__PACKET__CONTENT_NOTE;
@@ -286,17 +292,18 @@
 }
 
 /* A newer host may use the probe in ways that this one does not know. */
-static roster_probe_t probe_from_wire(uint32_t number)
+static gossip_probe_kind_t probe_from_wire(uint32_t number)
 {
-	return number <= ROSTER_ACK ? (roster_probe_t)number : ROSTER_NO_PROBE;
+	return number <= GOSSIP_ACK ? (gossip_probe_kind_t)number
+				    : GOSSIP_NO_PROBE;
 }
 
-static void copy_membership(roster_note_t *gossip, const Peer__Note *message)
+static void copy_membership(gossip_message_t *gossip, const Peer__Note *message)
 {
 	message_probe_t *membership = &gossip->membership;
 
-	gossip->probe = probe_from_wire(message->probe);
-	gossip->pull = message->pull != 0;
+	gossip->probe_kind = probe_from_wire(message->probe);
+	gossip->reply_wanted = message->pull != 0;
 	*membership = (message_probe_t){
 		.sequence = message->sequence,
 		.incarnation = message->incarnation,
@@ -312,23 +319,23 @@
 			.state = (uint8_t)min_count(message->facts[i]->state,
 						    UINT8_MAX),
 		};
-	gossip->reader_count =
-		min_count(message->n_readers, ROSTER_READERS_MAX);
-	for (uint32_t i = 0; i < gossip->reader_count; i++)
-		gossip->readers[i] = (roster_reader_t){
+	gossip->poller_count =
+		min_count(message->n_readers, GOSSIP_POLLERS_MAX);
+	for (uint32_t i = 0; i < gossip->poller_count; i++)
+		gossip->pollers[i] = (gossip_poller_t){
 			.address = message->readers[i]->address,
 			.age = decode_age_ms(message->readers[i]->age_ms),
 		};
 }
 
-static void copy_gossip(roster_note_t *gossip, const Peer__Note *message)
+static void copy_gossip(gossip_message_t *gossip, const Peer__Note *message)
 {
-	*gossip = (roster_note_t){
+	*gossip = (gossip_message_t){
 		.address = message->address,
 		.incarnation = message->incarnation,
 		.stamp = (pimento_usec_t)message->stamp,
 		.echo = (pimento_usec_t)message->echo,
-		.copies = {
+		.replicas = {
 			[REPLICA_CONFIGURATION] = {
 				message->revision,
 				decode_age_ms(message->fresh_age_ms) },
@@ -336,14 +343,14 @@
 				message->endpoints_revision,
 				decode_age_ms(message->endpoints_age_ms) },
 		},
-		.load_count = min_count(message->n_loads, ROSTER_LOADS_MAX),
-		.quota_count = min_count(message->n_quotas, ROSTER_QUOTAS_MAX),
-		.owned_count = min_count(message->n_owned, ROSTER_OWNED_MAX),
+		.load_count = min_count(message->n_loads, GOSSIP_LOADS_MAX),
+		.quota_count = min_count(message->n_quotas, GOSSIP_QUOTAS_MAX),
+		.owner_report_count = min_count(message->n_owned, GOSSIP_OWNER_REPORTS_MAX),
 	};
 	for (uint32_t i = 0; i < gossip->load_count; i++) {
 		gossip->loads[i].endpoint = message->loads[i]->endpoint;
 		gossip->loads[i].running = message->loads[i]->running;
-		gossip->loads[i].reading = message->loads[i]->reading;
+		gossip->loads[i].prefill_tokens = message->loads[i]->reading;
 	}
 	for (uint32_t i = 0; i < gossip->quota_count; i++)
 		gossip->quotas[i] = (quota_report_t){
@@ -351,16 +358,16 @@
 			.level = (double)message->quotas[i]->level,
 			.age = message->quotas[i]->age_ms * PIMENTO_MSEC,
 		};
-	for (uint32_t i = 0; i < gossip->owned_count; i++)
-		gossip->owned[i] = (roster_owned_t){
+	for (uint32_t i = 0; i < gossip->owner_report_count; i++)
+		gossip->owner_reports[i] = (gossip_owner_report_t){
 			.endpoint = message->owned[i]->endpoint,
 			.age = message->owned[i]->age_ms * PIMENTO_MSEC,
-			.word = { .running = message->owned[i]->running,
-				  .waiting = message->owned[i]->waiting,
-				  .event_gap_us = message->owned[i]->gap_us,
-				  .ejected_ms = message->owned[i]->ejected_ms,
-				  .unreachable =
-					  message->owned[i]->doubtful != 0 },
+			.report = { .running = message->owned[i]->running,
+				    .waiting = message->owned[i]->waiting,
+				    .event_gap_us = message->owned[i]->gap_us,
+				    .ejected_ms = message->owned[i]->ejected_ms,
+				    .unreachable =
+					    message->owned[i]->doubtful != 0 },
 		};
 	copy_membership(gossip, message);
 }
--- a/src/packet.h
+++ b/src/packet.h
@@ -8,7 +8,7 @@
 
 #include "grants.h"
 #include "quota_fleet.h"
-#include "roster.h"
+#include "peers.h"
 
 /* Bytes of an encoded packet, below the least MTU in use. */
 #define PACKET_BYTES_MAX 1400
@@ -47,7 +47,7 @@
 typedef struct packet {
 	packet_kind_t kind;
 	union {
-		roster_note_t gossip;
+		gossip_message_t gossip;
 		grants_request_t slot_request;
 		packet_slot_reply_t slot_reply;
 		packet_slot_release_t slot_release;
--- a/src/quota_fleet.c
+++ b/src/quota_fleet.c
@@ -67,7 +67,8 @@
 static double partition_limit_ratio(const quota_fleet_t *fleet,
 				    pimento_usec_t now)
 {
-	double part = roster_part(fleet->peers, LOST_HOST_WINDOW, now);
+	double part =
+		peers_known_live_share(fleet->peers, LOST_HOST_WINDOW, now);
 
 	return part >= FULL_LIMIT_HOSTS_RATIO ? 1 : part;
 }
@@ -107,7 +108,7 @@
 				       pimento_usec_t now)
 {
 	fleet->local_decisions++;
-	fleet->fallback.limit_ratio = 1.0 / roster_hosts(fleet->peers, now);
+	fleet->fallback.limit_ratio = 1.0 / peers_host_count(fleet->peers, now);
 	return judge(&fleet->fallback, ask, now);
 }
 
@@ -126,12 +127,12 @@
 				 const quota_pending_t *pending,
 				 pimento_usec_t now)
 {
-	uint32_t owner = roster_owner(fleet->peers, pending->req.account);
+	uint32_t owner = peers_owner(fleet->peers, pending->req.account);
 	uint32_t successor;
 
 	if (owner != pending->sent_to && !is_unresponsive(fleet, owner, now))
 		return owner;
-	successor = roster_successor(fleet->peers, pending->req.account, owner);
+	successor = peers_successor(fleet->peers, pending->req.account, owner);
 	if (successor != pending->sent_to &&
 	    !is_unresponsive(fleet, successor, now))
 		return successor;
@@ -143,7 +144,7 @@
 {
 	return !fleet->first_start &&
 	       now - pending->requested_at < DISCOVERY_DEFER_MAX &&
-	       roster_is_discovering(fleet->peers, now);
+	       peers_is_discovering(fleet->peers, now);
 }
 
 /* Returns true if the ask is over: the table of those pending has changed. */
@@ -166,8 +167,8 @@
 	if (address)
 		decision = decide_as_owner(
 			fleet, &pending->req,
-			address != roster_owner(fleet->peers,
-						pending->req.account),
+			address !=
+				peers_owner(fleet->peers, pending->req.account),
 			now);
 	else
 		decision = decide_locally(fleet, &pending->req, now);
@@ -244,7 +245,7 @@
 static void handle_request(quota_fleet_t *fleet, const quota_message_t *ask,
 			   pimento_usec_t now)
 {
-	uint32_t owner = roster_owner(fleet->peers, ask->account);
+	uint32_t owner = peers_owner(fleet->peers, ask->account);
 	quota_decision_t decision =
 		decide_as_owner(fleet, ask, owner != fleet->peers->self, now);
 	quota_message_t reply = *ask;
--- a/src/quota_fleet.h
+++ b/src/quota_fleet.h
@@ -10,7 +10,7 @@
  */
 
 #include "quota.h"
-#include "roster.h"
+#include "peers.h"
 
 typedef enum quota_message_kind {
 	QUOTA_REQUEST,
@@ -70,7 +70,7 @@
 typedef struct quota_fleet {
 	const quota_fleet_ops_t *ops;
 	void *context;
-	roster_t *peers;
+	peers_t *peers;
 	quota_t owned; /* buckets of accounts, kept for all hosts */
 	quota_t fallback; /* this host's part, while no owner answers */
 	quota_pending_t *pending;
@@ -87,7 +87,7 @@
 typedef struct quota_fleet_setup {
 	const quota_fleet_ops_t *ops;
 	void *context;
-	roster_t *peers;
+	peers_t *peers;
 	pimento_usec_t window;
 	bool first_start;
 } quota_fleet_setup_t;
--- a/test/gossip.c
+++ b/test/gossip.c
@@ -133,8 +133,8 @@
 	hostlist_t list = { 0 };
 	uint64_t revision;
 	size_t length;
-	const char *text =
-		spread_pending(&h->config_sync, subject, &revision, &length);
+	const char *text = config_sync_pending(&h->config_sync, subject,
+					       &revision, &length);
 	bool ok;
 
 	if (!text)
@@ -142,9 +142,9 @@
 	ok = text_is_valid(sim, subject, text, length, &list);
 	if (!ok)
 		sim->rejected_texts++;
-	spread_judge(&h->config_sync, sim->now, subject, ok);
+	config_sync_resolve_pending(&h->config_sync, sim->now, subject, ok);
 	if (subject == CONFIG_SYNC_HOSTS && ok) {
-		member_publish(&h->membership, sim->now, &list);
+		membership_apply_hostlist(&h->membership, sim->now, &list);
 		hostlist_finish(&list);
 	}
 	if (subject == CONFIG_SYNC_CONFIG && ok)
@@ -160,23 +160,23 @@
 
 	apply_pending(sim, h, CONFIG_SYNC_CONFIG);
 	apply_pending(sim, h, CONFIG_SYNC_HOSTS);
-	h->membership.revision =
-		spread_revision(&h->config_sync, CONFIG_SYNC_CONFIG);
+	h->membership.config_revision =
+		config_sync_revision(&h->config_sync, CONFIG_SYNC_CONFIG);
 	h->membership.hosts_revision =
-		spread_revision(&h->config_sync, CONFIG_SYNC_HOSTS);
-	if (h->membership.revision < h->revision)
+		config_sync_revision(&h->config_sync, CONFIG_SYNC_HOSTS);
+	if (h->membership.config_revision < h->revision)
 		report_violation(sim, h, "the configuration reverted");
-	h->revision = h->membership.revision;
-	if (member_fresh(&h->membership, sim->now) &&
+	h->revision = h->membership.config_revision;
+	if (membership_is_fresh(&h->membership, sim->now) &&
 	    h->revision < h->wake_revision_min)
 		report_violation(
 			sim, h,
 			"serves under a revision from before its pause");
 	while (outbox_take(&h->out, &to, &message))
 		send_message(sim, h, to, &message);
-	at = member_deadline(&h->membership);
-	if (spread_deadline(&h->config_sync) < at)
-		at = spread_deadline(&h->config_sync);
+	at = membership_deadline(&h->membership);
+	if (config_sync_deadline(&h->config_sync) < at)
+		at = config_sync_deadline(&h->config_sync);
 	if (h->next_read_at < at)
 		at = h->next_read_at;
 	if (at <= sim->now)
@@ -191,11 +191,11 @@
 static void poll_platform(gossip_sim_t *sim, gossip_sim_host_t *h)
 {
 	pimento_id_t live[GOSSIP_SIM_HOSTS_MAX];
-	uint32_t count =
-		member_live(&h->membership, live, GOSSIP_SIM_HOSTS_MAX);
+	uint32_t count = membership_live_hosts(&h->membership, live,
+					       GOSSIP_SIM_HOSTS_MAX);
 	pimento_usec_t interval;
 
-	if (spread_reader(&h->config_sync, live, count, &interval))
+	if (config_sync_is_poller(&h->config_sync, live, count, &interval))
 		h->next_read_at = sim->now + WATCH_RETRY_PERIOD;
 	else
 		h->next_read_at = sim->now + interval;
@@ -212,23 +212,23 @@
 		}
 		if (!text)
 			continue;
-		spread_read(&h->config_sync, sim->now,
-			    (config_sync_subject_t)(s + 1), revision, text,
-			    strlen(text));
+		config_sync_submit(&h->config_sync, sim->now,
+				   (config_sync_subject_t)(s + 1), revision,
+				   text, strlen(text));
 		apply_pending(sim, h, (config_sync_subject_t)(s + 1));
 	}
-	h->membership.revision =
-		spread_revision(&h->config_sync, CONFIG_SYNC_CONFIG);
+	h->membership.config_revision =
+		config_sync_revision(&h->config_sync, CONFIG_SYNC_CONFIG);
 	h->membership.hosts_revision =
-		spread_revision(&h->config_sync, CONFIG_SYNC_HOSTS);
+		config_sync_revision(&h->config_sync, CONFIG_SYNC_HOSTS);
 	/* A host cannot tell that the platform is stale. */
-	member_refreshed(&h->membership, sim->now, sim->now);
+	membership_platform_read_done(&h->membership, sim->now, sim->now);
 }
 
 static void tick(gossip_sim_t *sim, gossip_sim_host_t *h)
 {
-	member_tick(&h->membership, sim->now);
-	spread_tick(&h->config_sync, sim->now);
+	membership_tick(&h->membership, sim->now);
+	config_sync_tick(&h->config_sync, sim->now);
 	if (sim->now >= h->next_read_at)
 		poll_platform(sim, h);
 }
@@ -237,15 +237,17 @@
 		    const message_t *m)
 {
 	if (m->kind == MESSAGE_PROBE || m->kind == MESSAGE_ACK) {
-		member_receive(&h->membership, sim->now, from, m);
-		spread_heard(&h->config_sync, sim->now, from,
-			     CONFIG_SYNC_CONFIG, m->u.probe.revision);
-		spread_heard(&h->config_sync, sim->now, from, CONFIG_SYNC_HOSTS,
-			     m->u.probe.hosts_revision);
+		membership_receive(&h->membership, sim->now, from, m);
+		config_sync_learn_revision(&h->config_sync, sim->now, from,
+					   CONFIG_SYNC_CONFIG,
+					   m->u.probe.revision);
+		config_sync_learn_revision(&h->config_sync, sim->now, from,
+					   CONFIG_SYNC_HOSTS,
+					   m->u.probe.hosts_revision);
 		return;
 	}
-	member_heard(&h->membership, sim->now, from);
-	spread_receive(&h->config_sync, sim->now, from, m);
+	membership_host_seen(&h->membership, sim->now, from);
+	config_sync_receive(&h->config_sync, sim->now, from, m);
 }
 
 /* What all others that it can reach serve under, when a host goes on. */
@@ -260,7 +262,7 @@
 		if (h == woken || !h->up || h->partition != woken->partition)
 			continue;
 		if (sim->now < h->paused_until ||
-		    !member_fresh(&h->membership, sim->now))
+		    !membership_is_fresh(&h->membership, sim->now))
 			return 0;
 		if (h->revision < floor)
 			floor = h->revision;
@@ -332,8 +334,8 @@
 void gossip_sim_start_host(gossip_sim_t *sim, uint32_t host)
 {
 	gossip_sim_host_t *h = &sim->hosts[host];
-	member_options_t member = { .self = h->id };
-	spread_options_t spread = { .self = h->id };
+	membership_options_t member = { .self = h->id };
+	config_sync_options_t spread = { .self = h->id };
 
 	if (h->up)
 		return;
@@ -342,8 +344,8 @@
 	member.seed = pimento_random_next(&sim->random);
 	spread.seed = pimento_random_next(&sim->random);
 	outbox_init(&h->out, OUTBOX_CAPACITY);
-	member_init(&h->membership, &member, &h->out);
-	spread_init(&h->config_sync, &spread, &h->out);
+	membership_init(&h->membership, &member, &h->out);
+	config_sync_init(&h->config_sync, &spread, &h->out);
 	h->up = true;
 	h->revision = 0;
 	h->wake_revision_min = 0;
@@ -353,8 +355,8 @@
 	h->tick_at = 0;
 	/* Its settings name two seeds. */
 	for (uint32_t i = 0; i < 2; i++)
-		member_meet(&h->membership, sim->now,
-			    sim->hosts[(host + 1 + i) % sim->count].id);
+		membership_add_host(&h->membership, sim->now,
+				    sim->hosts[(host + 1 + i) % sim->count].id);
 	tick(sim, h);
 	finish_step(sim, h);
 }
@@ -366,8 +368,8 @@
 	if (!h->up)
 		return;
 	h->up = false;
-	member_finish(&h->membership);
-	spread_finish(&h->config_sync);
+	membership_finish(&h->membership);
+	config_sync_finish(&h->config_sync);
 	outbox_finish(&h->out);
 }
 
@@ -419,8 +421,8 @@
 
 	for (uint32_t i = 0; i < sim->count; i++) {
 		gossip_sim_host_t *h = &sim->hosts[i];
-		bool leaving = h->up && member_state(&h->membership, h->id) ==
-						HOST_LEAVING;
+		bool leaving = h->up && membership_state(&h->membership,
+							 h->id) == HOST_LEAVING;
 
 		if (!h->up)
 			continue;
@@ -470,7 +472,7 @@
 	for (uint32_t i = 0; i < sim->count; i++) {
 		const gossip_sim_host_t *h = &sim->hosts[i];
 
-		if (h->up && spread_revision(&h->config_sync, subject) ==
+		if (h->up && config_sync_revision(&h->config_sync, subject) ==
 				     sim->revisions[subject - 1])
 			n++;
 	}
@@ -489,13 +491,13 @@
 
 			if (!a->up)
 				continue;
-			state = member_state(&a->membership, b->id);
+			state = membership_state(&a->membership, b->id);
 			if (!b->up)
 				n += state != HOST_DEAD &&
 				     state != HOST_UNKNOWN;
 			else
 				n += state !=
-				     member_state(&b->membership, b->id);
+				     membership_state(&b->membership, b->id);
 		}
 	}
 	return n;
@@ -511,7 +513,7 @@
 
 		if (!h->up)
 			continue;
-		state = member_state(&h->membership, sim->hosts[dead].id);
+		state = membership_state(&h->membership, sim->hosts[dead].id);
 		n += state == HOST_LIVE || state == HOST_SUSPECT;
 	}
 	return n;
@@ -531,7 +533,7 @@
 
 			if (!sim->hosts[i].up)
 				continue;
-			o = member_owner(&sim->hosts[i].membership, e);
+			o = membership_owner(&sim->hosts[i].membership, e);
 			if (!first && o != owner) {
 				n++;
 				break;
--- a/test/gossip.h
+++ b/test/gossip.h
@@ -8,14 +8,14 @@
  * follows from the seed. No requests; just what those two parts need.
  */
 
-#include "member.h"
-#include "spread.h"
+#include "membership.h"
+#include "config_sync.h"
 
 #define GOSSIP_SIM_HOSTS_MAX 400
 
 typedef struct gossip_sim_host {
-	member_t membership;
-	spread_t config_sync;
+	membership_t membership;
+	config_sync_t config_sync;
 	outbox_t out;
 	pimento_id_t id;
 	uint64_t incarnation;
--- a/test/quota_sim.c
+++ b/test/quota_sim.c
@@ -16,20 +16,20 @@
 			  current_sim->hosts);
 }
 
-static bool can_reach(const roster_world_t *rosters, uint32_t from, uint32_t to)
+static bool can_reach(const peers_sim_t *rosters, uint32_t from, uint32_t to)
 {
-	const roster_world_host_t *a = &rosters->hosts[from];
-	const roster_world_host_t *b = &rosters->hosts[to];
+	const peers_sim_host_t *a = &rosters->hosts[from];
+	const peers_sim_host_t *b = &rosters->hosts[to];
 
-	return b->up && b->frozen_until <= rosters->now && !b->deaf &&
-	       a->side == b->side;
+	return b->up && b->frozen_until <= rosters->now && !b->drops_input &&
+	       a->partition == b->partition;
 }
 
 static void on_send(void *context, uint32_t address,
 		    const quota_message_t *message)
 {
-	roster_world_t *rosters = &current_sim->peers;
-	uint32_t to = roster_world_index(address);
+	peers_sim_t *rosters = &current_sim->peers;
+	uint32_t to = peers_sim_host_index(address);
 
 	if (to >= rosters->count ||
 	    !can_reach(rosters, host_index(context), to) ||
@@ -64,7 +64,7 @@
 		.first_start = is_first_start,
 	};
 
-	roster_world_start(&sim->peers, host);
+	peers_sim_start(&sim->peers, host);
 	quota_fleet_init(&sim->hosts[host].fleet, &setup);
 	sim->peers.hosts[host].quota = &sim->hosts[host].fleet.owned;
 }
@@ -75,13 +75,13 @@
 		return;
 	sim->peers.hosts[host].quota = NULL;
 	quota_fleet_finish(&sim->hosts[host].fleet);
-	roster_world_kill(&sim->peers, host);
+	peers_sim_kill(&sim->peers, host);
 }
 
 void quota_sim_init(quota_sim_t *sim, uint32_t hosts, uint64_t seed)
 {
 	memset(sim, 0, sizeof(*sim));
-	roster_world_init(&sim->peers, hosts, seed);
+	peers_sim_init(&sim->peers, hosts, seed);
 	sim->hosts = calloc(hosts, sizeof(*sim->hosts));
 	sim->account = 77;
 	sim->limit = (quota_limit_t){ 200000, 200000 };
@@ -91,14 +91,14 @@
 	current_sim = sim;
 	for (uint32_t i = 0; i < hosts; i++)
 		quota_sim_start(sim, i, true);
-	roster_world_settle(&sim->peers, 10 * PIMENTO_SEC);
+	peers_sim_converge(&sim->peers, 10 * PIMENTO_SEC);
 }
 
 void quota_sim_finish(quota_sim_t *sim)
 {
 	for (uint32_t i = 0; i < sim->peers.count; i++)
 		quota_sim_kill(sim, i);
-	roster_world_finish(&sim->peers);
+	peers_sim_finish(&sim->peers);
 	free(sim->hosts);
 }
 
@@ -123,7 +123,7 @@
 
 static bool is_running(const quota_sim_t *sim, uint32_t host)
 {
-	const roster_world_host_t *h = &sim->peers.hosts[host];
+	const peers_sim_host_t *h = &sim->peers.hosts[host];
 
 	return h->up && h->frozen_until <= sim->peers.now;
 }
@@ -142,7 +142,7 @@
 void quota_sim_step(quota_sim_t *sim,
 		    const double rate_multiple[QUOTA_SIM_TIERS])
 {
-	roster_world_run(&sim->peers, STEP);
+	peers_sim_run(&sim->peers, STEP);
 	for (uint32_t tier = 0; tier < QUOTA_SIM_TIERS; tier++)
 		add_load(sim, tier, rate_multiple[tier]);
 	for (uint32_t i = 0; i < sim->peers.count; i++) {
@@ -191,7 +191,7 @@
 {
 	for (uint32_t i = 0; i < sim->peers.count; i++)
 		if (is_running(sim, i))
-			return roster_world_index(roster_owner(
+			return peers_sim_host_index(peers_owner(
 				&sim->peers.hosts[i].roster, sim->account));
 	return 0;
 }
--- a/test/quota_sim.h
+++ b/test/quota_sim.h
@@ -8,7 +8,7 @@
  */
 
 #include "quota_fleet.h"
-#include "roster_world.h"
+#include "peers_sim.h"
 
 #define QUOTA_SIM_STEP_MS 10
 #define QUOTA_SIM_SECONDS_MAX 32
@@ -21,7 +21,7 @@
 } quota_sim_host_t;
 
 typedef struct quota_sim {
-	roster_world_t peers;
+	peers_sim_t peers;
 	quota_sim_host_t *hosts;
 	pimento_id_t account;
 	quota_limit_t limit;
--- a/test/test_spread.c
+++ b/test/test_config_sync.c
@@ -3,7 +3,7 @@
  */
 
 #include "delta.h"
-#include "spread.h"
+#include "config_sync.h"
 
 #include <check.h>
 #include <stdio.h>
@@ -12,52 +12,54 @@
 
 #define HOSTS 3
 
-static spread_t hosts[HOSTS];
-static outbox_t outs[HOSTS];
+static config_sync_t hosts[HOSTS];
+static outbox_t outboxes[HOSTS];
 
 static void setup(void)
 {
 	for (uint32_t i = 0; i < HOSTS; i++) {
-		spread_options_t options = { .self = i + 1, .seed = 7 };
+		config_sync_options_t options = { .self = i + 1, .seed = 7 };
 
-		ck_assert_int_eq(outbox_init(&outs[i], 64), 0);
-		ck_assert_int_eq(spread_init(&hosts[i], &options, &outs[i]), 0);
+		ck_assert_int_eq(outbox_init(&outboxes[i], 64), 0);
+		ck_assert_int_eq(
+			config_sync_init(&hosts[i], &options, &outboxes[i]), 0);
 	}
 }
 
 static void teardown(void)
 {
 	for (uint32_t i = 0; i < HOSTS; i++) {
-		spread_finish(&hosts[i]);
-		outbox_finish(&outs[i]);
+		config_sync_finish(&hosts[i]);
+		outbox_finish(&outboxes[i]);
 	}
 }
 
-/* Delivers everything until it is quiet; returns messages and their bytes. */
+/* Delivers everything until it is idle; returns messages and their bytes. */
 static uint32_t deliver(pimento_usec_t now, size_t *bytes)
 {
 	uint32_t messages = 0;
-	bool quiet;
+	bool idle;
 
 	do {
-		quiet = true;
+		idle = true;
 		for (uint32_t i = 0; i < HOSTS; i++) {
 			message_t m;
 			pimento_id_t to;
 
-			while (outbox_take(&outs[i], &to, &m)) {
-				quiet = false;
+			while (outbox_take(&outboxes[i], &to, &m)) {
+				idle = false;
 				messages++;
 				if (m.kind == MESSAGE_PART && bytes)
 					*bytes += m.u.part.length;
-				spread_receive(&hosts[to - 1], now, i + 1, &m);
+				config_sync_receive(&hosts[to - 1], now, i + 1,
+						    &m);
 			}
 		}
-	} while (!quiet);
+	} while (!idle);
 	return messages;
 }
 
-static char *lines(uint32_t count, uint32_t changed, size_t *length)
+static char *make_text(uint32_t count, uint32_t changed, size_t *length)
 {
 	char *text = malloc((size_t)count * 40 + 1);
 
@@ -89,19 +91,19 @@
 	const char *base = delta_cases[_i].base;
 	const char *text = delta_cases[_i].text;
 	char *delta;
-	char *made;
+	char *result;
 	size_t length;
 
 	ck_assert_int_eq(delta_create(base, strlen(base), text, strlen(text),
 				      &delta, &length),
 			 0);
 	ck_assert_int_eq(delta_apply(base, strlen(base), delta, length, 1000,
-				     &made, &length),
+				     &result, &length),
 			 0);
 	ck_assert_uint_eq(length, strlen(text));
-	ck_assert_str_eq(made, text);
+	ck_assert_str_eq(result, text);
 	free(delta);
-	free(made);
+	free(result);
 }
 END_TEST
 
@@ -123,54 +125,57 @@
 	{ "\x7e", 1, PIMENTO_ETOOBIG },
 };
 
-START_TEST(delta_refuses_malformed)
+START_TEST(malformed_delta_is_rejected)
 {
-	char *made;
+	char *result;
 	size_t length;
 
 	ck_assert_int_eq(delta_apply("abc", 3, bad_deltas[_i].delta,
-				     bad_deltas[_i].length, 32, &made, &length),
+				     bad_deltas[_i].length, 32, &result,
+				     &length),
 			 bad_deltas[_i].error);
 }
 END_TEST
 
-START_TEST(only_the_difference_travels)
+START_TEST(only_the_delta_is_transferred)
 {
 	size_t bytes = 0;
 	size_t length;
 	uint64_t revision;
-	char *text = lines(2000, 9999, &length);
-
-	ck_assert_int_eq(
-		spread_read(&hosts[0], 0, CONFIG_SYNC_CONFIG, 4, text, length),
-		0);
-	ck_assert_uint_eq(spread_revision(&hosts[0], CONFIG_SYNC_CONFIG), 0);
-	spread_judge(&hosts[0], 0, CONFIG_SYNC_CONFIG, true);
-	spread_heard(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 4);
+	char *text = make_text(2000, 9999, &length);
+
+	ck_assert_int_eq(config_sync_submit(&hosts[0], 0, CONFIG_SYNC_CONFIG, 4,
+					    text, length),
+			 0);
+	ck_assert_uint_eq(config_sync_revision(&hosts[0], CONFIG_SYNC_CONFIG),
+			  0);
+	config_sync_resolve_pending(&hosts[0], 0, CONFIG_SYNC_CONFIG, true);
+	config_sync_learn_revision(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 4);
 	deliver(0, &bytes);
 	ck_assert_uint_eq(bytes, length);
-	ck_assert_str_eq(spread_pending(&hosts[1], CONFIG_SYNC_CONFIG,
-					&revision, &length),
+	ck_assert_str_eq(config_sync_pending(&hosts[1], CONFIG_SYNC_CONFIG,
+					     &revision, &length),
 			 text);
 	ck_assert_uint_eq(revision, 4);
-	spread_judge(&hosts[1], 0, CONFIG_SYNC_CONFIG, true);
+	config_sync_resolve_pending(&hosts[1], 0, CONFIG_SYNC_CONFIG, true);
 	free(text);
 
-	text = lines(2000, 1000, &length);
+	text = make_text(2000, 1000, &length);
 	bytes = 0;
-	spread_read(&hosts[0], 0, CONFIG_SYNC_CONFIG, 5, text, length);
-	spread_judge(&hosts[0], 0, CONFIG_SYNC_CONFIG, true);
-	spread_heard(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 5);
+	config_sync_submit(&hosts[0], 0, CONFIG_SYNC_CONFIG, 5, text, length);
+	config_sync_resolve_pending(&hosts[0], 0, CONFIG_SYNC_CONFIG, true);
+	config_sync_learn_revision(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 5);
 	deliver(0, &bytes);
 	ck_assert_uint_lt(bytes, 100);
-	ck_assert_str_eq(spread_pending(&hosts[1], CONFIG_SYNC_CONFIG,
-					&revision, &length),
+	ck_assert_str_eq(config_sync_pending(&hosts[1], CONFIG_SYNC_CONFIG,
+					     &revision, &length),
 			 text);
-	spread_judge(&hosts[1], 0, CONFIG_SYNC_CONFIG, true);
-	ck_assert_int_eq(
-		spread_read(&hosts[1], 0, CONFIG_SYNC_CONFIG, 4, text, length),
-		PIMENTO_ESTALE);
-	ck_assert_uint_eq(spread_revision(&hosts[1], CONFIG_SYNC_CONFIG), 5);
+	config_sync_resolve_pending(&hosts[1], 0, CONFIG_SYNC_CONFIG, true);
+	ck_assert_int_eq(config_sync_submit(&hosts[1], 0, CONFIG_SYNC_CONFIG, 4,
+					    text, length),
+			 PIMENTO_ESTALE);
+	ck_assert_uint_eq(config_sync_revision(&hosts[1], CONFIG_SYNC_CONFIG),
+			  5);
 	free(text);
 }
 END_TEST
@@ -180,26 +185,28 @@
  * telling of it. If the refusing host fetched it again each time, operators
  * would see steady traffic and a log full of the same mistakes.
  */
-START_TEST(refused_text_is_not_fetched_again)
+START_TEST(rejected_text_is_not_fetched_again)
 {
 	size_t length;
 	uint64_t revision;
 
-	spread_read(&hosts[0], 0, CONFIG_SYNC_CONFIG, 3, "bad", 3);
-	spread_judge(&hosts[0], 0, CONFIG_SYNC_CONFIG, true);
-	spread_heard(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 3);
+	config_sync_submit(&hosts[0], 0, CONFIG_SYNC_CONFIG, 3, "bad", 3);
+	config_sync_resolve_pending(&hosts[0], 0, CONFIG_SYNC_CONFIG, true);
+	config_sync_learn_revision(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 3);
 	deliver(0, NULL);
-	ck_assert_ptr_nonnull(spread_pending(&hosts[1], CONFIG_SYNC_CONFIG,
-					     &revision, &length));
-	spread_judge(&hosts[1], 0, CONFIG_SYNC_CONFIG, false);
-	ck_assert_uint_eq(spread_revision(&hosts[1], CONFIG_SYNC_CONFIG), 0);
-	spread_heard(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 3);
+	ck_assert_ptr_nonnull(config_sync_pending(&hosts[1], CONFIG_SYNC_CONFIG,
+						  &revision, &length));
+	config_sync_resolve_pending(&hosts[1], 0, CONFIG_SYNC_CONFIG, false);
+	ck_assert_uint_eq(config_sync_revision(&hosts[1], CONFIG_SYNC_CONFIG),
+			  0);
+	config_sync_learn_revision(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 3);
 	ck_assert_uint_eq(deliver(0, NULL), 0);
-	ck_assert_int_eq(
-		spread_read(&hosts[1], 0, CONFIG_SYNC_CONFIG, 3, "bad", 3),
-		PIMENTO_ESTALE);
-	ck_assert_int_eq(
-		spread_read(&hosts[1], 0, CONFIG_SYNC_CONFIG, 2, "good", 4), 0);
+	ck_assert_int_eq(config_sync_submit(&hosts[1], 0, CONFIG_SYNC_CONFIG, 3,
+					    "bad", 3),
+			 PIMENTO_ESTALE);
+	ck_assert_int_eq(config_sync_submit(&hosts[1], 0, CONFIG_SYNC_CONFIG, 2,
+					    "good", 4),
+			 0);
 }
 END_TEST
 
@@ -208,29 +215,32 @@
  * with another peer that has it, or it would stay on the old configuration
  * until that one comes back.
  */
-START_TEST(transfer_goes_on_from_another_peer)
+START_TEST(transfer_resumes_from_another_peer)
 {
 	message_t m;
 	pimento_id_t to;
 	size_t length;
 	uint64_t revision;
-	char *text = lines(2000, 9999, &length);
+	char *text = make_text(2000, 9999, &length);
 
 	for (uint32_t i = 0; i < 2; i++) {
-		spread_read(&hosts[i], 0, CONFIG_SYNC_CONFIG, 4, text, length);
-		spread_judge(&hosts[i], 0, CONFIG_SYNC_CONFIG, true);
-		spread_heard(&hosts[2], 0, i + 1, CONFIG_SYNC_CONFIG, 4);
+		config_sync_submit(&hosts[i], 0, CONFIG_SYNC_CONFIG, 4, text,
+				   length);
+		config_sync_resolve_pending(&hosts[i], 0, CONFIG_SYNC_CONFIG,
+					    true);
+		config_sync_learn_revision(&hosts[2], 0, i + 1,
+					   CONFIG_SYNC_CONFIG, 4);
 	}
-	ck_assert(outbox_take(&outs[2], &to, &m));
+	ck_assert(outbox_take(&outboxes[2], &to, &m));
 	ck_assert_uint_eq(to, 1);
-	spread_receive(&hosts[0], 0, 3, &m);
-	outbox_take(&outs[0], &to, &m);
-	spread_receive(&hosts[2], 0, 1, &m);
-	outbox_take(&outs[2], &to, &m); /* lost: host 1 is dead */
-	spread_tick(&hosts[2], spread_deadline(&hosts[2]));
+	config_sync_receive(&hosts[0], 0, 3, &m);
+	outbox_take(&outboxes[0], &to, &m);
+	config_sync_receive(&hosts[2], 0, 1, &m);
+	outbox_take(&outboxes[2], &to, &m); /* lost: host 1 is dead */
+	config_sync_tick(&hosts[2], config_sync_deadline(&hosts[2]));
 	deliver(0, NULL);
-	ck_assert_str_eq(spread_pending(&hosts[2], CONFIG_SYNC_CONFIG,
-					&revision, &length),
+	ck_assert_str_eq(config_sync_pending(&hosts[2], CONFIG_SYNC_CONFIG,
+					     &revision, &length),
 			 text);
 	free(text);
 }
@@ -249,19 +259,20 @@
 	    .size = 10,
 	    .offset = 8,
 	    .length = 3 } },
-	{ { .subject = 1, .revision = 1, .size = SPREAD_TEXT_MAX + 1 } },
+	{ { .subject = 1, .revision = 1, .size = CONFIG_SYNC_TEXT_MAX + 1 } },
 };
 
-START_TEST(malformed_parts_are_refused)
+START_TEST(malformed_parts_are_rejected)
 {
 	message_t m = { .kind = MESSAGE_PART };
 
 	m.u.part = bad_parts[_i].part;
-	ck_assert_int_eq(spread_receive(&hosts[0], 0, 2, &m), PIMENTO_EINVAL);
+	ck_assert_int_eq(config_sync_receive(&hosts[0], 0, 2, &m),
+			 PIMENTO_EINVAL);
 }
 END_TEST
 
-START_TEST(few_readers_whatever_the_size)
+START_TEST(poller_count_is_bounded)
 {
 	static const uint32_t sizes[] = { 1, 8, 50, 400 };
 	uint32_t n = sizes[_i];
@@ -272,16 +283,18 @@
 	for (uint32_t i = 0; i < n; i++)
 		live[i] = (i + 1) * 0x9e3779b97f4a7c15ULL;
 	for (uint32_t i = 0; i < n; i++) {
-		spread_t s = { .options = { .self = live[i],
-					    .readers = SPREAD_READERS } };
+		config_sync_t s = { .options = {
+					    .self = live[i],
+					    .pollers = CONFIG_SYNC_POLLERS } };
 		pimento_usec_t interval;
 
-		if (spread_reader(&s, live, n, &interval))
+		if (config_sync_is_poller(&s, live, n, &interval))
 			readers++;
 		else
 			reads += (double)PIMENTO_SEC / (double)interval;
 	}
-	ck_assert_uint_eq(readers, n < SPREAD_READERS ? n : SPREAD_READERS);
+	ck_assert_uint_eq(readers,
+			  n < CONFIG_SYNC_POLLERS ? n : CONFIG_SYNC_POLLERS);
 	ck_assert_double_le(reads, 2.5);
 }
 END_TEST
@@ -296,14 +309,14 @@
 	tcase_add_checked_fixture(tc, setup, teardown);
 	tcase_add_loop_test(tc, delta_round_trip, 0,
 			    sizeof(delta_cases) / sizeof(delta_cases[0]));
-	tcase_add_loop_test(tc, delta_refuses_malformed, 0,
+	tcase_add_loop_test(tc, malformed_delta_is_rejected, 0,
 			    sizeof(bad_deltas) / sizeof(bad_deltas[0]));
-	tcase_add_test(tc, only_the_difference_travels);
-	tcase_add_test(tc, refused_text_is_not_fetched_again);
-	tcase_add_test(tc, transfer_goes_on_from_another_peer);
-	tcase_add_loop_test(tc, malformed_parts_are_refused, 0,
+	tcase_add_test(tc, only_the_delta_is_transferred);
+	tcase_add_test(tc, rejected_text_is_not_fetched_again);
+	tcase_add_test(tc, transfer_resumes_from_another_peer);
+	tcase_add_loop_test(tc, malformed_parts_are_rejected, 0,
 			    sizeof(bad_parts) / sizeof(bad_parts[0]));
-	tcase_add_loop_test(tc, few_readers_whatever_the_size, 0, 4);
+	tcase_add_loop_test(tc, poller_count_is_bounded, 0, 4);
 	suite_add_tcase(suite, tc);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_gossip.c
+++ b/test/test_gossip.c
@@ -34,8 +34,9 @@
 
 			if (!h->up)
 				continue;
-			state = member_state(&h->membership, id);
-			incarnation = member_incarnation(&h->membership, id);
+			state = membership_state(&h->membership, id);
+			incarnation =
+				membership_incarnation(&h->membership, id);
 			if (s->leaving && s->observer == h->incarnation &&
 			    s->incarnation == incarnation &&
 			    (state == HOST_LIVE || state == HOST_SUSPECT)) {
@@ -91,7 +92,7 @@
 		break;
 	case 9:
 		if (h->up && !h->paused_until)
-			member_leave(&h->membership, sim->now);
+			membership_leave(&h->membership, sim->now);
 		break;
 	case 10:
 	case 11:
@@ -234,9 +235,12 @@
 	for (uint32_t i = 0; i < 6; i++)
 		sim.hosts[i].partition = 1;
 	gossip_sim_run(&sim, 60 * PIMENTO_SEC);
-	ck_assert_uint_eq(member_live(&sim.hosts[0].membership, NULL, 0), 6);
-	ck_assert_uint_eq(member_live(&sim.hosts[11].membership, NULL, 0), 6);
-	ck_assert_double_eq(member_share(&sim.hosts[0].membership), 0.5);
+	ck_assert_uint_eq(
+		membership_live_hosts(&sim.hosts[0].membership, NULL, 0), 6);
+	ck_assert_uint_eq(
+		membership_live_hosts(&sim.hosts[11].membership, NULL, 0), 6);
+	ck_assert_double_eq(
+		membership_published_live_share(&sim.hosts[0].membership), 0.5);
 	for (uint32_t i = 0; i < 6; i++)
 		sim.hosts[i].partition = 0;
 	ck_assert_int_lt(time_until_zero(&sim, gossip_sim_count_wrong_states,
--- /dev/null
+++ b/test/test_peers_fleet.c
@@ -0,0 +1,185 @@
+/*
+ * Who lives and who owns an endpoint, as many hosts see it, in virtual time.
+ * ROSTER_TABLE=1 prints what docs/DESIGN.md tells of sizes.
+ */
+
+#include "peers_sim.h"
+
+#include <check.h>
+#include <stdio.h>
+#include <stdlib.h>
+
+enum { ENDPOINTS = 197 };
+
+#define LOSS 0.02
+
+static const struct {
+	uint32_t hosts;
+	pimento_usec_t join_time; /* all know all, after a common start */
+	pimento_usec_t death_time; /* all know of the death of a sixth */
+} sizes[] = {
+	{ 8, 2 * PIMENTO_SEC, 4 * PIMENTO_SEC },
+	{ 87, 3 * PIMENTO_SEC, 5 * PIMENTO_SEC },
+	{ 295, 4 * PIMENTO_SEC, 6 * PIMENTO_SEC },
+	{ 400, 4 * PIMENTO_SEC, 6 * PIMENTO_SEC },
+};
+
+static void start_all(peers_sim_t *sim, uint32_t hosts, uint64_t seed)
+{
+	peers_sim_init(sim, hosts, seed);
+	sim->loss = LOSS;
+	for (uint32_t i = 0; i < hosts; i++)
+		peers_sim_start(sim, i);
+}
+
+/* Guards against endpoints with several owners in a fleet that is sound. */
+START_TEST(owners_agree_without_faults)
+{
+	peers_sim_t sim;
+
+	start_all(&sim, sizes[_i].hosts, 1);
+	ck_assert_int_lt(peers_sim_converge(&sim, sizes[_i].join_time),
+			 sizes[_i].join_time);
+	for (int i = 0; i < 10; i++) {
+		peers_sim_run(&sim, 500 * PIMENTO_MSEC);
+		ck_assert_uint_eq(peers_sim_disputed_owners(&sim, ENDPOINTS),
+				  0);
+	}
+	peers_sim_finish(&sim);
+}
+END_TEST
+
+/* Guards against owners that are gone for longer than the fleet's log allows. */
+START_TEST(death_reaches_all_hosts_in_time)
+{
+	peers_sim_t sim;
+
+	start_all(&sim, sizes[_i].hosts, 2);
+	peers_sim_converge(&sim, sizes[_i].join_time);
+	for (uint32_t i = 0; i < sizes[_i].hosts; i += 6)
+		peers_sim_kill(&sim, i);
+	ck_assert_int_lt(peers_sim_converge(&sim, sizes[_i].death_time),
+			 sizes[_i].death_time);
+	ck_assert_uint_eq(peers_sim_disputed_owners(&sim, ENDPOINTS), 0);
+	peers_sim_finish(&sim);
+}
+END_TEST
+
+/* Guards against owners that move because a host stood still for a moment. */
+START_TEST(short_pause_changes_no_owner)
+{
+	peers_sim_t sim;
+	uint32_t before;
+
+	start_all(&sim, sizes[_i].hosts, 3);
+	peers_sim_converge(&sim, sizes[_i].join_time);
+	peers_sim_run(&sim, PIMENTO_SEC);
+	before = (uint32_t)peers_owner_changes(&sim.hosts[1].roster);
+	sim.hosts[0].frozen_until = sim.now + 600 * PIMENTO_MSEC;
+	peers_sim_run(&sim, 5 * PIMENTO_SEC);
+	ck_assert_uint_eq(peers_owner_changes(&sim.hosts[1].roster), before);
+	ck_assert_uint_eq(peers_sim_disputed_owners(&sim, ENDPOINTS), 0);
+	peers_sim_finish(&sim);
+}
+END_TEST
+
+/* Guards against two owners for good after all hosts were killed at once. */
+START_TEST(owners_agree_after_full_restart)
+{
+	peers_sim_t sim;
+
+	start_all(&sim, sizes[_i].hosts, 4);
+	peers_sim_converge(&sim, sizes[_i].join_time);
+	for (uint32_t i = 0; i < sizes[_i].hosts; i++)
+		peers_sim_kill(&sim, i);
+	for (uint32_t i = 0; i < sizes[_i].hosts; i++)
+		peers_sim_start(&sim, i);
+	ck_assert_int_lt(peers_sim_converge(&sim, sizes[_i].join_time),
+			 sizes[_i].join_time);
+	ck_assert_uint_eq(peers_sim_disputed_owners(&sim, ENDPOINTS), 0);
+	peers_sim_finish(&sim);
+}
+END_TEST
+
+/* Guards against a leaving host that goes on owning endpoints. */
+START_TEST(leaving_host_hands_over_endpoints)
+{
+	peers_sim_t sim;
+
+	start_all(&sim, sizes[_i].hosts, 5);
+	peers_sim_converge(&sim, sizes[_i].join_time);
+	peers_leave(&sim.hosts[0].roster, sim.now);
+	sim.hosts[0].leaving = true;
+	ck_assert_int_lt(peers_sim_converge(&sim, 2 * PIMENTO_SEC),
+			 2 * PIMENTO_SEC);
+	ck_assert_uint_eq(peers_sim_disputed_owners(&sim, ENDPOINTS), 0);
+	peers_sim_finish(&sim);
+}
+END_TEST
+
+static double ms(pimento_usec_t span)
+{
+	return (double)span / (double)PIMENTO_MSEC;
+}
+
+static void print_row(uint32_t hosts)
+{
+	peers_sim_t sim;
+	pimento_usec_t join_time;
+	pimento_usec_t death_time;
+	uint64_t changes;
+
+	start_all(&sim, hosts, 7);
+	join_time = peers_sim_converge(&sim, 20 * PIMENTO_SEC);
+	peers_sim_run(&sim, 2 * PIMENTO_SEC);
+	changes = peers_owner_changes(&sim.hosts[1].roster);
+	sim.measure_bytes = true;
+	sim.hosts[1].messages_sent = 0;
+	sim.hosts[1].bytes_sent = 0;
+	peers_sim_run(&sim, 10 * PIMENTO_SEC);
+	changes = peers_owner_changes(&sim.hosts[1].roster) - changes;
+	printf("%5u hosts: joined %5.0f ms, notes/s %5.1f, bytes/s %6.0f, "
+	       "changes in 10 s of calm %llu",
+	       hosts, ms(join_time), (double)sim.hosts[1].messages_sent / 10,
+	       (double)sim.hosts[1].bytes_sent / 10,
+	       (unsigned long long)changes);
+	sim.measure_bytes = false;
+	peers_sim_kill(&sim, 0);
+	death_time = peers_sim_converge(&sim, 20 * PIMENTO_SEC);
+	printf(", death known %5.0f ms\n", ms(death_time));
+	peers_sim_finish(&sim);
+}
+
+START_TEST(print_table)
+{
+	static const uint32_t hosts[] = { 8, 58, 87, 295, 400, 1000 };
+
+	if (!getenv("ROSTER_TABLE"))
+		return;
+	for (size_t i = 0; i < sizeof(hosts) / sizeof(hosts[0]); i++)
+		print_row(hosts[i]);
+}
+END_TEST
+
+int main(void)
+{
+	const int count = sizeof(sizes) / sizeof(sizes[0]);
+	Suite *suite = suite_create("roster_fleet");
+	TCase *tests = tcase_create("all");
+	SRunner *runner;
+	int failed;
+
+	tcase_set_timeout(tests, 300);
+	tcase_add_loop_test(tests, owners_agree_without_faults, 0, count);
+	tcase_add_loop_test(tests, death_reaches_all_hosts_in_time, 0, count);
+	tcase_add_loop_test(tests, short_pause_changes_no_owner, 0, count);
+	tcase_add_loop_test(tests, owners_agree_after_full_restart, 0, count);
+	tcase_add_loop_test(tests, leaving_host_hands_over_endpoints, 0, count);
+	tcase_add_test(tests, print_table);
+	suite_add_tcase(suite, tests);
+	runner = srunner_create(suite);
+	srunner_run_all(runner, CK_NORMAL);
+	failed = srunner_ntests_failed(runner);
+	srunner_free(runner);
+	return failed ? EXIT_FAILURE : EXIT_SUCCESS;
+}
--- a/test/test_quota_fleet.c
+++ b/test/test_quota_fleet.c
@@ -164,7 +164,7 @@
 		break;
 	case PARTITION_HOSTS:
 		for (uint32_t i = 0; i < sim.peers.count; i += 4)
-			sim.peers.hosts[i].side = 1;
+			sim.peers.hosts[i].partition = 1;
 		break;
 	}
 }
@@ -172,7 +172,7 @@
 static void clear_fault(void)
 {
 	for (uint32_t i = 0; i < sim.peers.count; i++) {
-		sim.peers.hosts[i].side = 0;
+		sim.peers.hosts[i].partition = 0;
 		if (!sim.peers.hosts[i].up)
 			quota_sim_start(&sim, i, false);
 	}
--- a/test/test_slots.c
+++ b/test/test_slots.c
@@ -13,19 +13,20 @@
 static registry_t registry;
 static registry_endpoint_t *endpoint;
 static registry_service_t *service;
-static roster_t roster;
+static peers_t roster;
 static slots_t slots;
 
 static void hear_peers(pimento_usec_t now)
 {
 	for (uint32_t address = 2; address <= HOSTS; address++) {
-		roster_note_t note = { .address = address,
-				       .incarnation = 1,
-				       .stamp = now,
-				       .copies = { { .age = PIMENTO_NEVER },
-						   { .age = PIMENTO_NEVER } },
-				       .membership = { .incarnation = 1,
-						       .count = 1 } };
+		gossip_message_t note = {
+			.address = address,
+			.incarnation = 1,
+			.stamp = now,
+			.replicas = { { .age = PIMENTO_NEVER },
+				      { .age = PIMENTO_NEVER } },
+			.membership = { .incarnation = 1, .count = 1 }
+		};
 
 		note.membership.facts[0] =
 			(message_fact_t){ .subject = address,
@@ -34,7 +35,7 @@
 					  .state = HOST_LIVE };
 		pimento_usec_t fresh[REPLICA_KIND_COUNT];
 
-		roster_receive(&roster, &note, now, fresh);
+		peers_receive(&roster, &note, now, fresh);
 	}
 }
 
@@ -52,7 +53,7 @@
 	ck_assert_ptr_nonnull(endpoint);
 	service = registry_get_service(&registry, endpoint->service);
 	ck_assert_ptr_nonnull(service);
-	ck_assert_int_eq(roster_init(&roster, SELF, 99), 0);
+	ck_assert_int_eq(peers_init(&roster, SELF, 99), 0);
 	hear_peers(NOW);
 	slots_init(&slots, &registry, &roster, SELF);
 }
@@ -60,7 +61,7 @@
 static void teardown(void)
 {
 	slots_finish(&slots);
-	roster_finish(&roster);
+	peers_finish(&roster);
 	registry_finish(&registry);
 }
 
@@ -88,7 +89,7 @@
 {
 	uint64_t ticket = 1;
 
-	ck_assert_uint_ne(roster_owner(&roster, endpoint->key), SELF);
+	ck_assert_uint_ne(peers_owner(&roster, endpoint->key), SELF);
 	/* less than the age at which a host's own words overrule its grants */
 	for (int tick = 0; tick < TICKS; tick++) {
 		pimento_usec_t now = NOW + tick * 100 * PIMENTO_MSEC;
