--- a/bench/slope_table.c
+++ b/bench/slope_table.c
@@ -96,7 +96,7 @@
 	list->hosts = calloc(n, sizeof(*list->hosts));
 	for (uint32_t i = 0; i < n; i++) {
 		list->hosts[i].id = ID(i);
-		list->hosts[i].endpoint = endpoints;
+		list->hosts[i].is_endpoint = endpoints;
 	}
 }
 
--- a/daemon/ctl.h
+++ b/daemon/ctl.h
@@ -7,7 +7,7 @@
  */
 
 #include "../src/config.h"
-#include "../src/text.h"
+#include "../src/strbuf.h"
 
 enum {
 	CTL_SUCCESS = 0,
@@ -37,7 +37,7 @@
 
 /*
  * Reads a whole file, "-" for standard input. Returns CTL_SUCCESS, or
- * CTL_USAGE after a message. At most one byte over CONFIG_TEXT_MAX is read,
+ * CTL_USAGE after a message. At most one byte over CONFIG_MAX_BYTES is read,
  * which is enough to notice that it is too big.
  */
 int ctl_read(ctl_file_t *file, const char *path);
--- a/daemon/ctl_burn.c
+++ b/daemon/ctl_burn.c
@@ -34,18 +34,18 @@
 static void ask(ctl_hosts_t *hosts, burn_reports_t *reports)
 {
 	for (size_t i = 0; i < hosts->count; i++) {
-		text_t body;
+		strbuf_t body;
 
-		text_init(&body);
+		strbuf_init(&body);
 		if (!ctl_get(hosts->names[i], "/burn", &body)) {
-			if (burn_json_read(reports, text_get(&body),
+			if (burn_json_read(reports, strbuf_str(&body),
 					   body.length))
 				fprintf(stderr, "%s: answer is malformed\n",
 					hosts->names[i]);
 			else
 				hosts->answered++;
 		}
-		text_finish(&body);
+		strbuf_finish(&body);
 	}
 }
 
@@ -58,10 +58,10 @@
 	strftime(to, size, "%Y-%m-%d %H:%M UTC", &when);
 }
 
-static int write_file(const char *path, const text_t *text)
+static int write_file(const char *path, const strbuf_t *text)
 {
 	FILE *file = fopen(path, "w");
-	bool written = file && fputs(text_get(text), file) != EOF;
+	bool written = file && fputs(strbuf_str(text), file) != EOF;
 
 	if (file && fclose(file))
 		written = false;
@@ -74,26 +74,26 @@
 		      const burn_reports_t *reports)
 {
 	char when[32];
-	text_t text;
+	strbuf_t text;
 	int status;
 
 	time_text(when, sizeof(when));
-	text_init(&text);
-	burn_html(reports->reports, reports->count, hosts->answered, when,
-		  &text);
+	strbuf_init(&text);
+	burn_write_html(reports->reports, reports->count, hosts->answered, when,
+			&text);
 	status = write_file(path, &text);
-	text_finish(&text);
+	strbuf_finish(&text);
 	return status;
 }
 
 static void print_table(const burn_reports_t *reports)
 {
-	text_t text;
+	strbuf_t text;
 
-	text_init(&text);
-	burn_table(reports->reports, reports->count, &text);
-	fputs(text_get(&text), stdout);
-	text_finish(&text);
+	strbuf_init(&text);
+	burn_write_table(reports->reports, reports->count, &text);
+	fputs(strbuf_str(&text), stdout);
+	strbuf_finish(&text);
 }
 
 static int report(ctl_hosts_t *hosts, const char *page)
--- a/daemon/ctl_check.c
+++ b/daemon/ctl_check.c
@@ -5,7 +5,7 @@
 
 #include "ctl.h"
 
-#include "../src/answers.h"
+#include "../src/questionnaire.h"
 #include "../src/settings.h"
 
 #include <getopt.h>
@@ -28,12 +28,12 @@
 static int check_answers(const ctl_file_t *file, const char *path,
 			 problems_t *problems)
 {
-	answers_t answers;
-	int error = answers_parse(&answers, file->bytes, file->length, path,
-				  problems);
+	questionnaire_t answers;
+	int error = questionnaire_parse(&answers, file->bytes, file->length,
+					path, problems);
 
 	if (!error)
-		answers_finish(&answers);
+		questionnaire_finish(&answers);
 	return error;
 }
 
--- a/daemon/ctl_diff.c
+++ b/daemon/ctl_diff.c
@@ -4,7 +4,7 @@
 
 #include "ctl.h"
 
-#include "../src/diff.h"
+#include "../src/config_diff.h"
 
 #include <getopt.h>
 #include <stdio.h>
@@ -22,18 +22,18 @@
 static int compare(const pimento_config_t *before,
 		   const pimento_config_t *after)
 {
-	text_t text;
+	strbuf_t text;
 	int changes;
 
-	text_init(&text);
-	changes = diff_configs(before, after, &text);
+	strbuf_init(&text);
+	changes = config_diff(before, after, &text);
 	if (changes > 0)
-		fputs(text_get(&text), stdout);
+		fputs(strbuf_str(&text), stdout);
 	else if (!changes)
 		puts("Nothing changes.");
 	else
 		fprintf(stderr, "pimentoctl: %s\n", pimento_strerror(changes));
-	text_finish(&text);
+	strbuf_finish(&text);
 	return changes < 0 ? CTL_FAILED : CTL_SUCCESS;
 }
 
--- a/daemon/ctl_explain.c
+++ b/daemon/ctl_explain.c
@@ -30,7 +30,7 @@
 	size_t size = 0;
 
 	while (getline(&line, &size, file) >= 0)
-		explain_line(explain, line);
+		explain_add_line(explain, line);
 	free(line);
 }
 
@@ -49,13 +49,13 @@
 
 static int print_story(explain_t *explain)
 {
-	text_t text;
+	strbuf_t text;
 	int lines;
 
-	text_init(&text);
+	strbuf_init(&text);
 	lines = explain_write(explain, &text);
-	fputs(text_get(&text), stdout);
-	text_finish(&text);
+	fputs(strbuf_str(&text), stdout);
+	strbuf_finish(&text);
 	if (lines < 0)
 		fprintf(stderr, "pimentoctl: %s\n", pimento_strerror(lines));
 	else if (!lines)
--- a/daemon/ctl_file.c
+++ b/daemon/ctl_file.c
@@ -5,7 +5,7 @@
 
 #include "ctl.h"
 
-#include "../src/answers.h"
+#include "../src/questionnaire.h"
 #include "../src/toml.h"
 
 #include <errno.h>
@@ -30,7 +30,7 @@
 
 static int read_stream(ctl_file_t *file, FILE *stream)
 {
-	size_t limit = CONFIG_TEXT_MAX + 1;
+	size_t limit = CONFIG_MAX_BYTES + 1;
 
 	file->bytes = malloc(limit + 1);
 	if (!file->bytes)
@@ -81,8 +81,8 @@
 	toml_document_t document;
 	ctl_kind_t kind;
 
-	if (file->length > CONFIG_TEXT_MAX ||
-	    toml_init(&document, file->bytes, file->length))
+	if (file->length > CONFIG_MAX_BYTES ||
+	    toml_parse(&document, file->bytes, file->length))
 		return CTL_CONFIG;
 	kind = kind_of_root(document.root);
 	toml_finish(&document);
@@ -95,9 +95,9 @@
 		return CTL_SUCCESS;
 	if (problems->text)
 		fputs(problems->text, stderr);
-	if (problems->count > problems->limit)
+	if (problems->count > problems->max_lines)
 		fprintf(stderr, "%s: %u more mistakes are not shown\n", path,
-			problems->count - problems->limit);
+			problems->count - problems->max_lines);
 	if (error != PIMENTO_EPARSE)
 		fprintf(stderr, "%s: %s\n", path, pimento_strerror(error));
 	return CTL_USAGE;
@@ -106,20 +106,20 @@
 static int load_answers(pimento_config_t *config, const ctl_file_t *file,
 			const char *path, problems_t *problems)
 {
-	answers_t answers;
-	text_t text;
-	int error = answers_parse(&answers, file->bytes, file->length, path,
-				  problems);
+	questionnaire_t answers;
+	strbuf_t text;
+	int error = questionnaire_parse(&answers, file->bytes, file->length,
+					path, problems);
 
 	if (error)
 		return error;
-	text_init(&text);
-	error = answers_generate(&answers, &text);
+	strbuf_init(&text);
+	error = questionnaire_generate(&answers, &text);
 	if (!error)
-		error = pimento_config_parse(config, text_get(&text),
+		error = pimento_config_parse(config, strbuf_str(&text),
 					     text.length, path, problems);
-	text_finish(&text);
-	answers_finish(&answers);
+	strbuf_finish(&text);
+	questionnaire_finish(&answers);
 	return error;
 }
 
--- a/daemon/ctl_generate.c
+++ b/daemon/ctl_generate.c
@@ -5,7 +5,7 @@
 
 #include "ctl.h"
 
-#include "../src/answers.h"
+#include "../src/questionnaire.h"
 
 #include <getopt.h>
 #include <stdio.h>
@@ -34,14 +34,15 @@
 }
 
 /* Generates the text and reads it back as a daemon would. */
-static int derive(const answers_t *answers, text_t *text, problems_t *problems)
+static int derive(const questionnaire_t *answers, strbuf_t *text,
+		  problems_t *problems)
 {
 	pimento_config_t config;
-	int error = answers_generate(answers, text);
+	int error = questionnaire_generate(answers, text);
 
 	if (error)
 		return error;
-	error = pimento_config_parse(&config, text_get(text), text->length,
+	error = pimento_config_parse(&config, strbuf_str(text), text->length,
 				     "generated", problems);
 	if (!error)
 		pimento_config_finish(&config);
@@ -51,23 +52,23 @@
 static int generate_from(const ctl_file_t *file, const char *path)
 {
 	problems_t problems;
-	answers_t answers;
-	text_t text;
+	questionnaire_t answers;
+	strbuf_t text;
 	int status;
 	int error;
 
 	problems_init(&problems);
-	text_init(&text);
-	error = answers_parse(&answers, file->bytes, file->length, path,
-			      &problems);
+	strbuf_init(&text);
+	error = questionnaire_parse(&answers, file->bytes, file->length, path,
+				    &problems);
 	if (!error) {
 		error = derive(&answers, &text, &problems);
-		answers_finish(&answers);
+		questionnaire_finish(&answers);
 	}
 	status = ctl_report(error, path, &problems);
 	if (!status)
-		status = print(text_get(&text));
-	text_finish(&text);
+		status = print(strbuf_str(&text));
+	strbuf_finish(&text);
 	problems_finish(&problems);
 	return status;
 }
@@ -103,5 +104,6 @@
 	}
 	if (argc - optind != (template ? 0 : 1))
 		return ctl_misused("generate");
-	return template ? print(answers_template()) : generate(argv[optind]);
+	return template ? print(questionnaire_template())
+			: generate(argv[optind]);
 }
--- a/daemon/ctl_hash_key.c
+++ b/daemon/ctl_hash_key.c
@@ -35,7 +35,7 @@
 			KEY_MAX - 1);
 		return CTL_USAGE;
 	}
-	pimento_config_key_hash(key, length, hash);
+	pimento_config_hash_key(key, length, hash);
 	sodium_memzero(key, length);
 	puts(sodium_bin2hex(text, sizeof(text), hash, sizeof(hash)));
 	return CTL_SUCCESS;
--- a/daemon/ctl_http.c
+++ b/daemon/ctl_http.c
@@ -63,7 +63,7 @@
 	bool connected;
 	int fd;
 
-	if (fields_address_port(host, address, &port))
+	if (fields_parse_address_port(host, address, &port))
 		return false;
 	length = fill_address(&to, address, port);
 	fd = socket(to.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC,
@@ -81,7 +81,7 @@
 	char address[64];
 	uint16_t port;
 
-	if (!fields_address_port(host, address, &port))
+	if (!fields_parse_address_port(host, address, &port))
 		return true;
 	fprintf(stderr, "pimentoctl: \"%s\" is not ADDRESS:PORT, such as %s\n",
 		host, CTL_DEFAULT_HOST);
@@ -89,7 +89,7 @@
 }
 
 typedef struct sink {
-	text_t *body;
+	strbuf_t *body;
 	bool too_big;
 } sink_t;
 
@@ -102,7 +102,7 @@
 		sink->too_big = true;
 		return 0;
 	}
-	text_add_bytes(sink->body, bytes, length);
+	strbuf_add(sink->body, bytes, length);
 	return length;
 }
 
@@ -125,7 +125,7 @@
 	return error;
 }
 
-int ctl_get(const char *host, const char *path, text_t *body)
+int ctl_get(const char *host, const char *path, strbuf_t *body)
 {
 	sink_t sink = { body, false };
 	char url[URL_BYTES];
@@ -141,7 +141,7 @@
 			sink.too_big ? "answer is too big" : "no answer");
 		return sink.too_big ? CTL_FAILED : CTL_UNREACHABLE;
 	}
-	if (status != 200 || text_error(body)) {
+	if (status != 200 || strbuf_error(body)) {
 		fprintf(stderr, "%s: answered %ld\n", host, status);
 		return CTL_FAILED;
 	}
--- a/daemon/ctl_http.h
+++ b/daemon/ctl_http.h
@@ -5,7 +5,7 @@
  * The subcommands' HTTP calls.
  */
 
-#include "../src/text.h"
+#include "../src/strbuf.h"
 
 #include <ulfius.h>
 
@@ -25,7 +25,7 @@
  * GETs a path of a host into body. Returns CTL_SUCCESS, CTL_FAILED or
  * CTL_UNREACHABLE, after a message.
  */
-int ctl_get(const char *host, const char *path, text_t *body);
+int ctl_get(const char *host, const char *path, strbuf_t *body);
 
 /* Hosts to ask: the arguments, or the default one. */
 typedef struct ctl_hosts {
--- a/daemon/ctl_status.c
+++ b/daemon/ctl_status.c
@@ -27,15 +27,15 @@
 static json_t *ask(const char *host)
 {
 	json_t *answer = NULL;
-	text_t body;
+	strbuf_t body;
 
-	text_init(&body);
+	strbuf_init(&body);
 	if (!ctl_get(host, "/status", &body)) {
-		answer = json_loadb(text_get(&body), body.length, 0, NULL);
+		answer = json_loadb(strbuf_str(&body), body.length, 0, NULL);
 		if (!json_is_object(answer))
 			fprintf(stderr, "%s: answer is malformed\n", host);
 	}
-	text_finish(&body);
+	strbuf_finish(&body);
 	if (json_is_object(answer))
 		return answer;
 	json_decref(answer);
@@ -45,7 +45,7 @@
 static int status_of(ctl_hosts_t *hosts)
 {
 	json_t *answers[CTL_HOSTS_MAX];
-	text_t text;
+	strbuf_t text;
 
 	for (size_t i = 0; i < hosts->count; i++) {
 		json_t *answer = ask(hosts->names[i]);
@@ -53,10 +53,10 @@
 		if (answer)
 			answers[hosts->answered++] = answer;
 	}
-	text_init(&text);
+	strbuf_init(&text);
 	status_table(answers, hosts->answered, &text);
-	fputs(text_get(&text), stdout);
-	text_finish(&text);
+	fputs(strbuf_str(&text), stdout);
+	strbuf_finish(&text);
 	for (size_t i = 0; i < hosts->answered; i++)
 		json_decref(answers[i]);
 	return ctl_hosts_status(hosts);
--- a/daemon/pimentoedge.c
+++ b/daemon/pimentoedge.c
@@ -190,7 +190,7 @@
 
 /* Health and metrics. */
 
-static void write_metrics(void *context, text_t *text)
+static void write_metrics(void *context, strbuf_t *text)
 {
 	const edge_t *edge = context;
 	metrics_sources_t sources = {
@@ -215,12 +215,12 @@
 static void on_health(httpd_conn_t *conn)
 {
 	edge_t *edge = conn->server->user;
-	text_t text;
+	strbuf_t text;
 
-	text_init(&text);
+	strbuf_init(&text);
 	if (strcmp(conn->target.bytes, "/metrics") == 0) {
 		write_metrics(edge, &text);
-		httpd_answer(conn, HTTP_STATUS_OK, "", text_get(&text),
+		httpd_answer(conn, HTTP_STATUS_OK, "", strbuf_str(&text),
 			     text.length);
 	} else {
 		httpd_answer(conn,
@@ -228,7 +228,7 @@
 					    : HTTP_STATUS_SERVICE_UNAVAILABLE,
 			     "", "", 0);
 	}
-	text_finish(&text);
+	strbuf_finish(&text);
 }
 
 static void on_health_gone(httpd_conn_t *conn)
--- a/io/answer_reader.c
+++ b/io/answer_reader.c
@@ -19,12 +19,12 @@
 	reader->stream = stream;
 	reader->sink = sink;
 	reader->context = context;
-	text_init(&reader->pending);
+	strbuf_init(&reader->pending);
 }
 
 void answer_reader_finish(answer_reader_t *reader)
 {
-	text_finish(&reader->pending);
+	strbuf_finish(&reader->pending);
 }
 
 /* Returns the text of a completion or of a piece of one; NULL if it is none. */
@@ -97,8 +97,8 @@
 	if (reader->pending.length + length > limit)
 		reader->failed = true;
 	else
-		text_add_bytes(&reader->pending, bytes, length);
-	if (text_error(&reader->pending))
+		strbuf_add(&reader->pending, bytes, length);
+	if (strbuf_error(&reader->pending))
 		reader->failed = true;
 	return !reader->failed;
 }
@@ -134,20 +134,20 @@
 
 void answer_reader_end(answer_reader_t *reader)
 {
-	const text_t *whole = &reader->pending;
+	const strbuf_t *whole = &reader->pending;
 	json_t *body;
 	const char *text;
 
 	if (reader->stream || reader->failed)
 		return;
-	body = json_loadb(text_get(whole), whole->length, 0, NULL);
+	body = json_loadb(strbuf_str(whole), whole->length, 0, NULL);
 	reader->done = true;
 	if (!keep_error(reader, body)) {
 		text = completion_text(body);
 		if (text)
 			reader->sink(reader->context, text, strlen(text));
 		else
-			reader->sink(reader->context, text_get(whole),
+			reader->sink(reader->context, strbuf_str(whole),
 				     whole->length);
 	}
 	json_decref(body);
--- a/io/answer_reader.h
+++ b/io/answer_reader.h
@@ -7,7 +7,7 @@
  * the verdict where the answer itself carries one.
  */
 
-#include "../src/text.h"
+#include "../src/strbuf.h"
 
 #define ANSWER_BYTES_MAX ((size_t)64 * 1048576) /* of a whole answer */
 #define ANSWER_LINE_MAX ((size_t)1048576) /* of a streamed event */
@@ -20,7 +20,7 @@
 	bool begun;
 	bool done; /* the stream's end mark was read */
 	bool failed; /* too long, or no memory */
-	text_t pending; /* a line, or the whole answer */
+	strbuf_t pending; /* a line, or the whole answer */
 	char verdict[16]; /* of an error in it; "" none */
 	char message[200]; /* of that error */
 	answer_sink_t *sink; /* pieces of a stream */
--- a/io/arrival.c
+++ b/io/arrival.c
@@ -212,8 +212,8 @@
 	x->arrived = caller->first_byte;
 	x->length = -1;
 	x->draw = gateway_draw(gateway);
-	text_init(&x->fields);
-	text_init(&x->body);
+	strbuf_init(&x->fields);
+	strbuf_init(&x->body);
 	sse_init(&x->events);
 	return x;
 }
--- a/io/burn_json.c
+++ b/io/burn_json.c
@@ -33,7 +33,7 @@
 			windows, count_json("seconds", burn_window_seconds[i],
 					    report->windows[i]));
 	for (int age = BURN_COARSE_BUCKETS - 1; age >= 0; age--) {
-		json_int_t t = now_s - (json_int_t)age * BURN_COARSE_STEP;
+		json_int_t t = now_s - (json_int_t)age * BURN_COARSE_STEP_S;
 
 		if (report->series[age].total)
 			json_array_append_new(
@@ -118,7 +118,7 @@
 
 		if (t > now_s || t < 0)
 			continue;
-		t = (now_s - t) / BURN_COARSE_STEP;
+		t = (now_s - t) / BURN_COARSE_STEP_S;
 		if (t < BURN_COARSE_BUCKETS)
 			read_count(point, &report->series[t]);
 	}
--- a/io/control.c
+++ b/io/control.c
@@ -74,7 +74,7 @@
 			      settings->peer_port);
 
 	for (uint32_t i = 0; !error && i < settings->seed_count; i++) {
-		const settings_peer_t *seed = &settings->seeds[i];
+		const settings_seed_t *seed = &settings->seeds[i];
 
 		/* All hosts may be given the same list, this one in it. */
 		if (seed->port == settings->peer_port &&
@@ -324,7 +324,7 @@
 	for (uint32_t i = 0; i < list->count; i++) {
 		const hostlist_host_t *host = &list->hosts[i];
 
-		if (!host->endpoint)
+		if (!host->is_endpoint)
 			link_peer(&control->links, host->id, host->address,
 				  host->port);
 	}
@@ -370,7 +370,7 @@
 static void act_exchange(control_t *control, const pimento_action_t *action)
 {
 	call_t *call = find_call(control, action->request);
-	const config_endpoint_t *endpoint = pimento_config_endpoint(
+	const config_endpoint_t *endpoint = pimento_config_find_endpoint(
 		pimento_host_config(control->host), action->endpoint);
 	pimento_event_t event = { .kind = PIMENTO_EVENT_UNREACHABLE };
 
@@ -401,7 +401,7 @@
 	log_line(LOG_LEVEL_DEBUG, "entry", "refused a request: %s, %s",
 		 pimento_strerror(action->error),
 		 pimento_verdict_name(action->verdict));
-	if (burn_counts(action->error))
+	if (burn_error_counts(action->error))
 		count_answer(control, call, false);
 	call_refuse(call, action);
 	forget_call(control, call);
--- a/io/dialect.h
+++ b/io/dialect.h
@@ -43,12 +43,12 @@
 	 * Adds the header lines that the endpoint gets: the caller's, without
 	 * those that are the system's to set, and the system's own.
 	 */
-	void (*write_call)(text_t *text, const head_t *head,
+	void (*write_call)(strbuf_t *text, const head_t *head,
 			   const dialect_send_t *send);
 	void (*read_answer)(const head_t *head, const char *id,
 			    dialect_answer_t *answer);
 	/* Adds the header line that tells a caller when to come back. */
-	void (*write_retry_after)(text_t *text, pimento_usec_t wait);
+	void (*write_retry_after)(strbuf_t *text, pimento_usec_t wait);
 } dialect_ops_t;
 
 #endif
--- a/io/dispatch.c
+++ b/io/dispatch.c
@@ -93,7 +93,7 @@
 
 /* Sending. */
 
-static void write_head(exchange_t *x, text_t *text, pimento_usec_t now)
+static void write_head(exchange_t *x, strbuf_t *text, pimento_usec_t now)
 {
 	httpd_conn_t *caller = x->caller;
 	dialect_send_t send = {
@@ -107,13 +107,15 @@
 
 	if (x->events.last_id[0])
 		send.resume_after = x->events.last_id;
-	text_add(text, "%s %s HTTP/1.1\r\n",
-		 http_method_str(caller->parser.method), caller->target.bytes);
+	strbuf_addf(text, "%s %s HTTP/1.1\r\n",
+		    http_method_str(caller->parser.method),
+		    caller->target.bytes);
 	x->gateway->dialect->write_call(text, &caller->head, &send);
 	if (caller->body.length || head_get(&caller->head, "content-length") ||
 	    head_get(&caller->head, "transfer-encoding"))
-		text_add(text, "Content-Length: %zu\r\n", caller->body.length);
-	text_add(text, "\r\n");
+		strbuf_addf(text, "Content-Length: %zu\r\n",
+			    caller->body.length);
+	strbuf_addf(text, "\r\n");
 }
 
 /* The connection is open: commits the request, unless things have changed. */
@@ -121,7 +123,7 @@
 {
 	pimento_usec_t now = sys_now();
 	httpc_t *conn = x->conn;
-	text_t head;
+	strbuf_t head;
 	bool asked;
 
 	if (!registry_endpoint_accepts_work(x->endpoint, now) ||
@@ -135,13 +137,13 @@
 	}
 	x->reused = conn->asked > 0;
 	x->rested = now - conn->since;
-	text_init(&head);
+	strbuf_init(&head);
 	write_head(x, &head, now);
-	asked = !text_error(&head) &&
+	asked = !strbuf_error(&head) &&
 		httpc_ask(conn, head.bytes, head.length, x->caller->body.bytes,
 			  x->caller->body.length,
 			  x->caller->parser.method == HTTP_HEAD);
-	text_finish(&head);
+	strbuf_finish(&head);
 	if (!asked) {
 		dispatch_over(x, PIMENTO_NOT_RUN, 0, "connection_dead");
 		return;
--- a/io/exchange.c
+++ b/io/exchange.c
@@ -96,8 +96,8 @@
 	else
 		gateway->exchanges = x->next;
 	catalog_release(x->catalog);
-	text_finish(&x->fields);
-	text_finish(&x->body);
+	strbuf_finish(&x->fields);
+	strbuf_finish(&x->body);
 	sse_finish(&x->events);
 	free(x);
 	if (service)
@@ -108,12 +108,12 @@
 void exchange_retry_after(gateway_t *gateway, httpd_conn_t *caller, int status,
 			  pimento_usec_t wait)
 {
-	text_t fields;
+	strbuf_t fields;
 
-	text_init(&fields);
+	strbuf_init(&fields);
 	gateway->dialect->write_retry_after(&fields, wait);
-	httpd_answer(caller, status, text_get(&fields), "", 0);
-	text_finish(&fields);
+	httpd_answer(caller, status, strbuf_str(&fields), "", 0);
+	strbuf_finish(&fields);
 }
 
 /*
--- a/io/exchange.h
+++ b/io/exchange.h
@@ -63,8 +63,8 @@
 	/* The answer. */
 	pimento_usec_t first_at; /* its first bytes */
 	int64_t length; /* stated, or -1 */
-	text_t fields; /* header lines for the caller */
-	text_t body; /* of a plain answer, held until whole */
+	strbuf_t fields; /* header lines for the caller */
+	strbuf_t body; /* of a plain answer, held until whole */
 	sse_t events;
 
 	pimento_id_t tried[PLACEMENT_TRIED_MAX]; /* in all attempts */
--- a/io/head.c
+++ b/io/head.c
@@ -15,12 +15,12 @@
 void head_init(head_t *head)
 {
 	memset(head, 0, sizeof(*head));
-	text_init(&head->text);
+	strbuf_init(&head->text);
 }
 
 void head_finish(head_t *head)
 {
-	text_finish(&head->text);
+	strbuf_finish(&head->text);
 	free(head->fields);
 }
 
@@ -34,7 +34,7 @@
 
 static void end_text(head_t *head)
 {
-	text_add_bytes(&head->text, "", 1);
+	strbuf_add(&head->text, "", 1);
 }
 
 static bool grow(head_t *head)
@@ -71,7 +71,7 @@
 		begin_field(head);
 	head->in_value = false;
 	if (!head->failed)
-		text_add_bytes(&head->text, piece, length);
+		strbuf_add(&head->text, piece, length);
 }
 
 void head_add_value(head_t *head, const char *piece, size_t length)
@@ -84,7 +84,7 @@
 			(uint32_t)head->text.length;
 	}
 	head->in_value = true;
-	text_add_bytes(&head->text, piece, length);
+	strbuf_add(&head->text, piece, length);
 }
 
 void head_end(head_t *head)
@@ -97,7 +97,7 @@
 			(uint32_t)head->text.length;
 		end_text(head);
 	}
-	if (text_error(&head->text))
+	if (strbuf_error(&head->text))
 		head->failed = true;
 }
 
--- a/io/head.h
+++ b/io/head.h
@@ -7,7 +7,7 @@
  * and last until the next field is added.
  */
 
-#include "../src/text.h"
+#include "../src/strbuf.h"
 
 typedef struct head_field {
 	uint32_t name; /* offsets into the text */
@@ -15,7 +15,7 @@
 } head_field_t;
 
 typedef struct head {
-	text_t text;
+	strbuf_t text;
 	head_field_t *fields;
 	uint32_t count;
 	uint32_t size;
--- a/io/http_intake.c
+++ b/io/http_intake.c
@@ -37,7 +37,7 @@
 	value += sizeof(scheme) - 1;
 	crypto_generichash(hash, sizeof(hash), (const uint8_t *)value,
 			   strlen(value), NULL, 0);
-	return pimento_config_account(config, hash);
+	return pimento_config_find_account(config, hash);
 }
 
 static bool too_big(const struct _u_request *request, uint32_t max)
@@ -88,7 +88,7 @@
 		return intake_fail(
 			in, PIMENTO_EINVAL,
 			"Idempotency-Key must have 1 to 128 characters");
-	in->request.client_timeout = in->contract->patience;
+	in->request.client_timeout = in->contract->timeout;
 	if (deadline && (pimento_usec_t)deadline * PIMENTO_MSEC <
 				in->request.client_timeout)
 		in->request.client_timeout =
@@ -108,7 +108,7 @@
 {
 	const char *method = path ? in->http->http_verb : NULL;
 
-	in->contract = pimento_config_contract(
+	in->contract = pimento_config_find_contract(
 		in->config, in->account, header(in->http, "Pimento-Contract"),
 		target, target_name, method, path);
 	if (!in->contract)
@@ -240,7 +240,7 @@
 {
 	const char *path = in->http->url_path;
 	const config_service_t *service =
-		pimento_config_service(in->config, path);
+		pimento_config_find_service(in->config, path);
 	int error;
 
 	if (!service)
--- a/io/httpc.c
+++ b/io/httpc.c
@@ -283,17 +283,17 @@
 bool httpc_ask(httpc_t *conn, const char *head, size_t head_length,
 	       const char *body, size_t body_length, bool headless)
 {
-	text_t whole;
+	strbuf_t whole;
 	int error;
 
-	text_init(&whole);
-	text_add_bytes(&whole, head, head_length);
-	text_add_bytes(&whole, body, body_length);
-	error = text_error(&whole);
+	strbuf_init(&whole);
+	strbuf_add(&whole, head, head_length);
+	strbuf_add(&whole, body, body_length);
+	error = strbuf_error(&whole);
 	if (!error)
 		error = sendbuf_write(&conn->sendbuf, conn->fd, whole.bytes,
 				      whole.length);
-	text_finish(&whole);
+	strbuf_finish(&whole);
 	if (error)
 		return false;
 	conn->state = HTTPC_ASKING;
--- a/io/httpd.c
+++ b/io/httpd.c
@@ -33,8 +33,8 @@
 static void drop_body(httpd_conn_t *conn)
 {
 	conn->server->bodies -= conn->body.length;
-	text_finish(&conn->body);
-	text_init(&conn->body);
+	strbuf_finish(&conn->body);
+	strbuf_init(&conn->body);
 }
 
 static void conn_free(httpd_conn_t *conn)
@@ -50,10 +50,10 @@
 	server->count--;
 	if (server->count + 1 == server->limits.connections)
 		ev_io_start(server->loop, &server->accepting);
-	text_finish(&conn->target);
+	strbuf_finish(&conn->target);
 	head_finish(&conn->head);
 	drop_body(conn);
-	text_finish(&conn->ahead);
+	strbuf_finish(&conn->ahead);
 	sendbuf_finish(&conn->sendbuf);
 	free(conn);
 }
@@ -123,7 +123,7 @@
 
 static int on_url(http_parser *parser, const char *at, size_t length)
 {
-	text_add_bytes(&of(parser)->target, at, length);
+	strbuf_add(&of(parser)->target, at, length);
 	return count_head(of(parser), length);
 }
 
@@ -145,10 +145,10 @@
 	httpd_conn_t *conn = of(parser);
 	uint64_t length = parser->content_length;
 
-	text_add_bytes(&conn->target, "", 1);
+	strbuf_add(&conn->target, "", 1);
 	head_end(&conn->head);
 	conn->head_read = true;
-	if (conn->head.failed || text_error(&conn->target))
+	if (conn->head.failed || strbuf_error(&conn->target))
 		return refuse(conn, HTTP_STATUS_SERVICE_UNAVAILABLE);
 	if (!head_is_sound(&conn->head))
 		return refuse(conn, HTTP_STATUS_BAD_REQUEST);
@@ -182,8 +182,8 @@
 		return refuse(conn, HTTP_STATUS_PAYLOAD_TOO_LARGE);
 	if (!has_room(conn->server, length))
 		return refuse(conn, HTTP_STATUS_SERVICE_UNAVAILABLE);
-	text_add_bytes(&conn->body, at, length);
-	if (text_error(&conn->body))
+	strbuf_add(&conn->body, at, length);
+	if (strbuf_error(&conn->body))
 		return refuse(conn, HTTP_STATUS_SERVICE_UNAVAILABLE);
 	conn->server->bodies += length;
 	return 0;
@@ -257,18 +257,18 @@
 			conn->server->ops->request(conn);
 	}
 	if (!conn->dead && length && conn->state != HTTPD_LINGERING)
-		text_add_bytes(&conn->ahead, bytes, length);
+		strbuf_add(&conn->ahead, bytes, length);
 }
 
 static void take_ahead(httpd_conn_t *conn)
 {
-	text_t ahead = conn->ahead;
+	strbuf_t ahead = conn->ahead;
 
 	if (!ahead.length)
 		return;
-	text_init(&conn->ahead);
+	strbuf_init(&conn->ahead);
 	take(conn, ahead.bytes, ahead.length);
-	text_finish(&ahead);
+	strbuf_finish(&ahead);
 }
 
 /*
@@ -283,7 +283,7 @@
 	conn->in_call = false;
 	if (conn->dead)
 		conn_free(conn);
-	else if (text_error(&conn->ahead))
+	else if (strbuf_error(&conn->ahead))
 		conn_close(conn, true);
 	else if (conn->ahead.length > AHEAD_MOST)
 		ev_io_stop(conn->server->loop, &conn->reading);
@@ -309,7 +309,7 @@
 	if (conn->state == HTTPD_READING)
 		take(conn, read_buffer, (size_t)got);
 	else
-		text_add_bytes(&conn->ahead, read_buffer, (size_t)got);
+		strbuf_add(&conn->ahead, read_buffer, (size_t)got);
 	settle(conn);
 }
 
@@ -346,10 +346,10 @@
 	conn->server = server;
 	conn->fd = fd;
 	conn->last_byte = sys_now();
-	text_init(&conn->target);
+	strbuf_init(&conn->target);
 	head_init(&conn->head);
-	text_init(&conn->body);
-	text_init(&conn->ahead);
+	strbuf_init(&conn->body);
+	strbuf_init(&conn->ahead);
 	sendbuf_init(&conn->sendbuf);
 	http_parser_init(&conn->parser, HTTP_REQUEST);
 	conn->parser.data = conn;
@@ -505,18 +505,19 @@
 		ev_io_start(conn->server->loop, &conn->writing);
 }
 
-static void add_head(const httpd_conn_t *conn, text_t *text, int status,
+static void add_head(const httpd_conn_t *conn, strbuf_t *text, int status,
 		     const char *fields, int64_t length)
 {
-	text_add(text, "HTTP/1.1 %d %s\r\n%s", status,
-		 http_status_str((enum http_status)status), fields);
+	strbuf_addf(text, "HTTP/1.1 %d %s\r\n%s", status,
+		    http_status_str((enum http_status)status), fields);
 	if (conn->chunked)
-		text_add(text, "Transfer-Encoding: chunked\r\n");
+		strbuf_addf(text, "Transfer-Encoding: chunked\r\n");
 	else if (length >= 0)
-		text_add(text, "Content-Length: %lld\r\n", (long long)length);
+		strbuf_addf(text, "Content-Length: %lld\r\n",
+			    (long long)length);
 	if (!conn->keep)
-		text_add(text, "Connection: close\r\n");
-	text_add(text, "\r\n");
+		strbuf_addf(text, "Connection: close\r\n");
+	strbuf_addf(text, "\r\n");
 }
 
 static bool is_old(const httpd_conn_t *conn)
@@ -528,7 +529,7 @@
 void httpd_begin(httpd_conn_t *conn, int status, const char *fields,
 		 int64_t length)
 {
-	text_t text;
+	strbuf_t text;
 
 	if (conn->server->stopping)
 		conn->keep = false;
@@ -536,15 +537,15 @@
 	conn->chunked = length == HTTPD_CHUNKED && !is_old(conn);
 	if (length == HTTPD_CHUNKED && !conn->chunked)
 		conn->keep = false; /* the end of the connection ends it */
-	text_init(&text);
+	strbuf_init(&text);
 	add_head(conn, &text, status, fields, length);
-	put(conn, text_get(&text), text.length);
-	text_finish(&text);
+	put(conn, strbuf_str(&text), text.length);
+	strbuf_finish(&text);
 }
 
 void httpd_write(httpd_conn_t *conn, const char *bytes, size_t length)
 {
-	text_t text;
+	strbuf_t text;
 
 	if (!length)
 		return;
@@ -552,12 +553,12 @@
 		put(conn, bytes, length);
 		return;
 	}
-	text_init(&text);
-	text_add(&text, "%zx\r\n", length);
-	text_add_bytes(&text, bytes, length);
-	text_add_bytes(&text, "\r\n", 2);
-	put(conn, text_get(&text), text.length);
-	text_finish(&text);
+	strbuf_init(&text);
+	strbuf_addf(&text, "%zx\r\n", length);
+	strbuf_add(&text, bytes, length);
+	strbuf_add(&text, "\r\n", 2);
+	put(conn, strbuf_str(&text), text.length);
+	strbuf_finish(&text);
 }
 
 void httpd_end(httpd_conn_t *conn)
@@ -588,16 +589,16 @@
 void httpd_answer(httpd_conn_t *conn, int status, const char *fields,
 		  const char *body, size_t length)
 {
-	text_t text;
+	strbuf_t text;
 
 	if (conn->server->stopping)
 		conn->keep = false;
 	conn->state = HTTPD_ANSWERING;
 	conn->chunked = false;
-	text_init(&text);
+	strbuf_init(&text);
 	add_head(conn, &text, status, fields, (int64_t)length);
-	text_add_bytes(&text, body, length);
-	put(conn, text_get(&text), text.length);
-	text_finish(&text);
+	strbuf_add(&text, body, length);
+	put(conn, strbuf_str(&text), text.length);
+	strbuf_finish(&text);
 	httpd_end(conn);
 }
--- a/io/httpd.h
+++ b/io/httpd.h
@@ -63,10 +63,10 @@
 	ev_io reading;
 	ev_io writing;
 	http_parser parser;
-	text_t target; /* path and query, NUL-terminated in WAITING */
+	strbuf_t target; /* path and query, NUL-terminated in WAITING */
 	head_t head;
-	text_t body;
-	text_t ahead; /* bytes behind the request */
+	strbuf_t body;
+	strbuf_t ahead; /* bytes behind the request */
 	sendbuf_t sendbuf;
 	size_t head_bytes;
 	int refusal; /* status of a request that cannot be taken; 0 */
--- a/io/mesh.c
+++ b/io/mesh.c
@@ -271,15 +271,15 @@
 
 static void serve_metrics(mesh_t *mesh, httpd_conn_t *conn)
 {
-	text_t text;
+	strbuf_t text;
 
-	text_init(&text);
+	strbuf_init(&text);
 	if (mesh->write_metrics)
 		mesh->write_metrics(mesh->metrics_context, &text);
 	httpd_answer(conn, HTTP_STATUS_OK,
 		     "Content-Type: text/plain; version=0.0.4\r\n",
-		     text_get(&text), text.length);
-	text_finish(&text);
+		     strbuf_str(&text), text.length);
+	strbuf_finish(&text);
 }
 
 static void on_request(httpd_conn_t *conn)
@@ -386,7 +386,7 @@
 	if (fetch->body.length + length > SNAPSHOT_BYTES_MAX)
 		return; /* stalls, and is aborted */
 	progress_add(&fetch->progress, length, sys_now());
-	text_add_bytes(&fetch->body, bytes, length);
+	strbuf_add(&fetch->body, bytes, length);
 }
 
 static void on_end(httpc_t *conn)
@@ -396,10 +396,10 @@
 	fetch->conn = NULL;
 	report_fetch(fetch, conn->status == HTTP_STATUS_OK ? "complete"
 							   : "bad_status");
-	if (conn->status == HTTP_STATUS_OK && !text_error(&fetch->body))
+	if (conn->status == HTTP_STATUS_OK && !strbuf_error(&fetch->body))
 		take_snapshot(fetch, conn);
-	text_finish(&fetch->body);
-	text_init(&fetch->body);
+	strbuf_finish(&fetch->body);
+	strbuf_init(&fetch->body);
 	if (conn->reusable)
 		httpc_close(conn);
 }
@@ -564,7 +564,7 @@
 	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++) {
 		mesh->fetches[kind].mesh = mesh;
 		mesh->fetches[kind].kind = (replica_kind_t)kind;
-		text_init(&mesh->fetches[kind].body);
+		strbuf_init(&mesh->fetches[kind].body);
 	}
 	fd = net_datagram(&notes);
 	if (fd < 0)
@@ -587,7 +587,7 @@
 	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++) {
 		if (mesh->fetches[kind].conn)
 			httpc_close(mesh->fetches[kind].conn);
-		text_finish(&mesh->fetches[kind].body);
+		strbuf_finish(&mesh->fetches[kind].body);
 	}
 	httpd_finish(&mesh->server);
 }
--- a/io/mesh.h
+++ b/io/mesh.h
@@ -28,7 +28,7 @@
 	struct mesh *mesh;
 	replica_kind_t kind;
 	httpc_t *conn; /* NULL: no fetch in progress */
-	text_t body;
+	strbuf_t body;
 	uint32_t peer; /* IPv4 address, host byte order */
 	progress_t progress;
 	pimento_usec_t behind_since; /* a peer has had newer records; 0 no */
@@ -63,7 +63,7 @@
 	uint64_t snapshot_bytes_in; /* body bytes, failed fetches included */
 	uint64_t snapshot_bytes_out; /* body bytes passed to httpd */
 	/* Writes the metrics page; context is the caller's. */
-	void (*write_metrics)(void *context, text_t *text);
+	void (*write_metrics)(void *context, strbuf_t *text);
 	void *metrics_context;
 } mesh_t;
 
--- a/io/metrics.c
+++ b/io/metrics.c
@@ -2,50 +2,52 @@
 
 #include "trail.h"
 
-static void counter(text_t *text, const char *name, uint64_t value)
+static void counter(strbuf_t *text, const char *name, uint64_t value)
 {
-	text_add(text, "# TYPE pimento_%s counter\npimento_%s %llu\n", name,
-		 name, (unsigned long long)value);
+	strbuf_addf(text, "# TYPE pimento_%s counter\npimento_%s %llu\n", name,
+		    name, (unsigned long long)value);
 }
 
-static void gauge(text_t *text, const char *name, double value)
+static void gauge(strbuf_t *text, const char *name, double value)
 {
-	text_add(text, "# TYPE pimento_%s gauge\npimento_%s %g\n", name, name,
-		 value);
+	strbuf_addf(text, "# TYPE pimento_%s gauge\npimento_%s %g\n", name,
+		    name, value);
 }
 
-static void outcomes(text_t *text, const gateway_counters_t *counters)
+static void outcomes(strbuf_t *text, const gateway_counters_t *counters)
 {
-	text_add(text, "# TYPE pimento_requests_ended_total counter\n");
+	strbuf_addf(text, "# TYPE pimento_requests_ended_total counter\n");
 	for (int i = 0; i < GATEWAY_OUTCOMES; i++)
-		text_add(text,
-			 "pimento_requests_ended_total{outcome=\"%s\"} %llu\n",
-			 gateway_outcome_name((gateway_outcome_t)i),
-			 (unsigned long long)counters->outcomes[i]);
+		strbuf_addf(
+			text,
+			"pimento_requests_ended_total{outcome=\"%s\"} %llu\n",
+			gateway_outcome_name((gateway_outcome_t)i),
+			(unsigned long long)counters->outcomes[i]);
 }
 
-static void histogram(text_t *text, const char *name,
+static void histogram(strbuf_t *text, const char *name,
 		      const gateway_histogram_t *histogram)
 {
 	uint64_t below = 0;
 	double edge = 0.001;
 
-	text_add(text, "# TYPE pimento_%s histogram\n", name);
+	strbuf_addf(text, "# TYPE pimento_%s histogram\n", name);
 	for (int i = 0; i < GATEWAY_BUCKETS - 1; i++) {
 		below += histogram->buckets[i];
-		text_add(text, "pimento_%s_bucket{le=\"%g\"} %llu\n", name,
-			 edge, (unsigned long long)below);
+		strbuf_addf(text, "pimento_%s_bucket{le=\"%g\"} %llu\n", name,
+			    edge, (unsigned long long)below);
 		edge *= 2;
 	}
-	text_add(text,
-		 "pimento_%s_bucket{le=\"+Inf\"} %llu\n"
-		 "pimento_%s_sum %g\npimento_%s_count %llu\n",
-		 name, (unsigned long long)histogram->count, name,
-		 histogram->sum_ms / 1000, name,
-		 (unsigned long long)histogram->count);
+	strbuf_addf(text,
+		    "pimento_%s_bucket{le=\"+Inf\"} %llu\n"
+		    "pimento_%s_sum %g\npimento_%s_count %llu\n",
+		    name, (unsigned long long)histogram->count, name,
+		    histogram->sum_ms / 1000, name,
+		    (unsigned long long)histogram->count);
 }
 
-static void services(text_t *text, const gateway_t *gateway, pimento_usec_t now)
+static void services(strbuf_t *text, const gateway_t *gateway,
+		     pimento_usec_t now)
 {
 	uint32_t waiting = 0;
 
@@ -60,7 +62,7 @@
 	      gateway->catalog ? (double)gateway->catalog->version : 0);
 }
 
-void metrics_write(text_t *text, const metrics_sources_t *sources)
+void metrics_write(strbuf_t *text, const metrics_sources_t *sources)
 {
 	const gateway_t *gateway = sources->gateway;
 	const gateway_counters_t *counters = &gateway->counters;
--- a/io/metrics.h
+++ b/io/metrics.h
@@ -18,6 +18,6 @@
 	pimento_usec_t now;
 } metrics_sources_t;
 
-void metrics_write(text_t *text, const metrics_sources_t *sources);
+void metrics_write(strbuf_t *text, const metrics_sources_t *sources);
 
 #endif
--- a/io/relay.c
+++ b/io/relay.c
@@ -35,7 +35,8 @@
 		if (head_is_hop_by_hop(head, name) ||
 		    strcasecmp(name, "content-length") == 0)
 			continue;
-		text_add(&x->fields, "%s: %s\r\n", name, head_value(head, i));
+		strbuf_addf(&x->fields, "%s: %s\r\n", name,
+			    head_value(head, i));
 	}
 }
 
@@ -43,7 +44,7 @@
 {
 	x->streaming = true;
 	x->state = EXCHANGE_ANSWERING;
-	httpd_begin(x->caller, x->status, text_get(&x->fields),
+	httpd_begin(x->caller, x->status, strbuf_str(&x->fields),
 		    x->length >= 0 ? x->length : HTTPD_CHUNKED);
 }
 
@@ -253,7 +254,7 @@
 			httpc_hold(conn, true);
 		return;
 	}
-	text_add_bytes(&x->body, bytes, length);
+	strbuf_add(&x->body, bytes, length);
 	if (x->body.length > HOLD_MOST) {
 		learn_first(x, sys_now());
 		begin_streaming(x);
@@ -287,20 +288,20 @@
 
 static void end_plain(exchange_t *x)
 {
-	text_t fields = x->fields;
-	text_t body = x->body;
+	strbuf_t fields = x->fields;
+	strbuf_t body = x->body;
 	int status = x->status;
 	httpd_conn_t *caller;
 
 	learn_first(x, sys_now());
-	text_init(&x->fields);
-	text_init(&x->body);
+	strbuf_init(&x->fields);
+	strbuf_init(&x->body);
 	dispatch_done(x);
 	caller = exchange_served(x);
-	httpd_answer(caller, status, text_get(&fields), body.bytes,
+	httpd_answer(caller, status, strbuf_str(&fields), body.bytes,
 		     body.length);
-	text_finish(&fields);
-	text_finish(&body);
+	strbuf_finish(&fields);
+	strbuf_finish(&body);
 }
 
 void relay_end(httpc_t *conn)
@@ -311,7 +312,7 @@
 		pool_over(conn);
 		return;
 	}
-	if (text_error(&x->body) || text_error(&x->fields))
+	if (strbuf_error(&x->body) || strbuf_error(&x->fields))
 		dispatch_over(x, PIMENTO_RAN, 0, "memory");
 	else if (x->streaming)
 		end_stream(x);
--- a/io/sendbuf.c
+++ b/io/sendbuf.c
@@ -6,13 +6,13 @@
 
 void sendbuf_init(sendbuf_t *sendbuf)
 {
-	text_init(&sendbuf->text);
+	strbuf_init(&sendbuf->text);
 	sendbuf->sent = 0;
 }
 
 void sendbuf_finish(sendbuf_t *sendbuf)
 {
-	text_finish(&sendbuf->text);
+	strbuf_finish(&sendbuf->text);
 }
 
 size_t sendbuf_waiting(const sendbuf_t *sendbuf)
@@ -43,14 +43,14 @@
 		return PIMENTO_EIO;
 	if ((size_t)taken == length)
 		return 0;
-	text_add_bytes(&sendbuf->text, (const char *)bytes + taken,
-		       length - (size_t)taken);
-	return text_error(&sendbuf->text);
+	strbuf_add(&sendbuf->text, (const char *)bytes + taken,
+		   length - (size_t)taken);
+	return strbuf_error(&sendbuf->text);
 }
 
 static void drop_sent(sendbuf_t *sendbuf)
 {
-	text_finish(&sendbuf->text);
+	strbuf_finish(&sendbuf->text);
 	sendbuf_init(sendbuf);
 }
 
--- a/io/sendbuf.h
+++ b/io/sendbuf.h
@@ -6,10 +6,10 @@
  * once is never copied; the rest is kept in order.
  */
 
-#include "../src/text.h"
+#include "../src/strbuf.h"
 
 typedef struct sendbuf {
-	text_t text;
+	strbuf_t text;
 	size_t sent; /* of the text */
 } sendbuf_t;
 
--- a/io/status.c
+++ b/io/status.c
@@ -52,7 +52,7 @@
 	for (uint32_t i = 0; i < host->hosts.count; i++) {
 		const hostlist_host_t *h = &host->hosts.hosts[i];
 
-		if (h->endpoint)
+		if (h->is_endpoint)
 			continue;
 		json_array_append_new(
 			list, json_pack("{s:s, s:s, s:s, s:o}", "name", h->name,
--- a/io/status_table.c
+++ b/io/status_table.c
@@ -59,7 +59,7 @@
 		snprintf(cell, CELL_BYTES, "%s", revision);
 }
 
-static void add_host(const json_t *host, text_t *text)
+static void add_host(const json_t *host, strbuf_t *text)
 {
 	char name[CELL_BYTES];
 	char incarnation[CELL_BYTES];
@@ -78,8 +78,8 @@
 	cell_of(hosts, json_object_get(host, "hosts"), "revision");
 	cell_of(busy, json_object_get(host, "requests"), "in_progress");
 	cell_of(calls, json_object_get(host, "platform"), "calls");
-	text_add(text, HOST_FORMAT, name, incarnation, state, config, digest,
-		 hosts, busy, calls);
+	strbuf_addf(text, HOST_FORMAT, name, incarnation, state, config, digest,
+		    hosts, busy, calls);
 }
 
 static void waiting_cell(char cell[CELL_BYTES], const json_t *endpoint)
@@ -175,7 +175,7 @@
 	return strcmp(a->text, b->text);
 }
 
-static void add_endpoints(json_t *const *hosts, size_t count, text_t *text)
+static void add_endpoints(json_t *const *hosts, size_t count, strbuf_t *text)
 {
 	size_t most = 0;
 	size_t filled = 0;
@@ -185,18 +185,18 @@
 		most += json_array_size(json_object_get(hosts[i], "endpoints"));
 	rows = calloc(most + 1, sizeof(*rows));
 	if (!rows) {
-		text->failed = true;
+		text->out_of_memory = true;
 		return;
 	}
 	for (size_t i = 0; i < count; i++)
 		filled += fill_rows(hosts, count, i, rows + filled);
 	qsort(rows, filled, sizeof(*rows), compare_rows);
 	for (size_t i = 0; i < filled; i++)
-		text_add(text, "%s", rows[i].text);
+		strbuf_addf(text, "%s", rows[i].text);
 	free(rows);
 }
 
-static void add_members(const json_t *host, text_t *text)
+static void add_members(const json_t *host, strbuf_t *text)
 {
 	const json_t *members =
 		json_object_get(json_object_get(host, "hosts"), "members");
@@ -208,17 +208,17 @@
 	if (!json_array_size(members))
 		return;
 	cell_of(name, host, "name");
-	text_add(text, "%s sees:", name);
+	strbuf_addf(text, "%s sees:", name);
 	json_array_foreach(members, index, member)
 	{
 		cell_of(name, member, "name");
 		cell_of(state, member, "state");
-		text_add(text, "%s %s %s", index ? "," : "", name, state);
+		strbuf_addf(text, "%s %s %s", index ? "," : "", name, state);
 	}
-	text_add(text, "\n");
+	strbuf_addf(text, "\n");
 }
 
-static void add_difference(json_t *const *hosts, size_t count, text_t *text)
+static void add_difference(json_t *const *hosts, size_t count, strbuf_t *text)
 {
 	const json_t *first =
 		json_object_get(json_object_get(hosts[0], "config"), "digest");
@@ -228,25 +228,27 @@
 			json_object_get(hosts[i], "config"), "digest");
 
 		if (first && other && !json_equal(first, other)) {
-			text_add(text, "\nThe hosts do not all have the same "
-				       "configuration.\n");
+			strbuf_addf(text,
+				    "\nThe hosts do not all have the same "
+				    "configuration.\n");
 			return;
 		}
 	}
 }
 
-void status_table(json_t *const *hosts, size_t count, text_t *text)
+void status_table(json_t *const *hosts, size_t count, strbuf_t *text)
 {
 	if (!count)
 		return;
-	text_add(text, HOST_FORMAT, "HOST", "INCARNATION", "STATE",
-		 "CONFIGURATION", "DIGEST", "HOSTS", "IN PROGRESS", "PLATFORM");
+	strbuf_addf(text, HOST_FORMAT, "HOST", "INCARNATION", "STATE",
+		    "CONFIGURATION", "DIGEST", "HOSTS", "IN PROGRESS",
+		    "PLATFORM");
 	for (size_t i = 0; i < count; i++)
 		add_host(hosts[i], text);
-	text_add(text, "\n" ENDPOINT_FORMAT, "ENDPOINT", "OWNER", "RUNNING",
-		 "LIMIT", "WAITING BY TIER", "");
+	strbuf_addf(text, "\n" ENDPOINT_FORMAT, "ENDPOINT", "OWNER", "RUNNING",
+		    "LIMIT", "WAITING BY TIER", "");
 	add_endpoints(hosts, count, text);
-	text_add(text, "\n");
+	strbuf_addf(text, "\n");
 	for (size_t i = 0; i < count; i++)
 		add_members(hosts[i], text);
 	add_difference(hosts, count, text);
--- a/io/status_table.h
+++ b/io/status_table.h
@@ -7,11 +7,11 @@
  * be shown side by side during a rolling replacement.
  */
 
-#include "../src/text.h"
+#include "../src/strbuf.h"
 
 #include <jansson.h>
 
 /* Bytes that would upset a terminal are replaced. */
-void status_table(json_t *const *hosts, size_t count, text_t *text);
+void status_table(json_t *const *hosts, size_t count, strbuf_t *text);
 
 #endif
--- a/src/burn.c
+++ b/src/burn.c
@@ -1,6 +1,6 @@
 /*
- * Rings of buckets, each marked with the slot of time that it counts. A bucket
- * whose mark is not the wanted slot is void, so no pass is needed to clear old
+ * Rings of buckets, each marked with the interval of time that it counts. A bucket
+ * whose mark is not the wanted interval is void, so no pass is needed to clear old
  * ones, and a daemon that was paused for hours reads zeros for that time.
  */
 
@@ -11,15 +11,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BUDGET_FIRST 0.001
-#define BUDGET_LAST 0.05
+#define FIRST_TIER_ERROR_BUDGET 0.001
+#define LAST_TIER_ERROR_BUDGET 0.05
 
-#define RATE_FAST 14.4 /* 2 % of a month's budget in an hour */
-#define RATE_SLOW 6.0 /* 5 % of a month's budget in six hours */
-#define RATE_SPENT 1.0
+#define BURN_RATE_FAST 14.4 /* 2 % of a month's budget in an hour */
+#define BURN_RATE_SLOW 6.0 /* 5 % of a month's budget in six hours */
+#define BURN_RATE_SPENT 1.0
 
 /* Below this many bad requests a rate says more of chance than of service. */
-#define BAD_LEAST 3
+#define MIN_BAD_REQUESTS 3
 
 enum { WINDOW_5_MIN, WINDOW_30_MIN, WINDOW_1_H, WINDOW_6_H, WINDOW_24_H };
 
@@ -39,7 +39,7 @@
 	memset(burn, 0, sizeof(*burn));
 }
 
-static burn_tier_t *find(const burn_t *burn, const char *name)
+static burn_tier_t *find_tier(const burn_t *burn, const char *name)
 {
 	for (uint32_t i = 0; i < burn->count; i++)
 		if (!strcmp(burn->tiers[i].name, name))
@@ -47,58 +47,60 @@
 	return NULL;
 }
 
-static burn_tier_t *longest_unused(burn_t *burn)
+static burn_tier_t *least_recently_used(burn_t *burn)
 {
 	burn_tier_t *oldest = &burn->tiers[0];
 
 	for (uint32_t i = 1; i < burn->count; i++)
-		if (burn->tiers[i].used < oldest->used)
+		if (burn->tiers[i].last_used < oldest->last_used)
 			oldest = &burn->tiers[i];
 	return oldest;
 }
 
-static burn_tier_t *find_or_take(burn_t *burn, const char *name)
+static burn_tier_t *find_or_add_tier(burn_t *burn, const char *name)
 {
-	burn_tier_t *tier = find(burn, name);
+	burn_tier_t *tier = find_tier(burn, name);
 
 	if (tier)
 		return tier;
 	if (burn->count < BURN_TIERS_MAX)
 		tier = &burn->tiers[burn->count++];
 	else
-		tier = longest_unused(burn);
+		tier = least_recently_used(burn);
 	memset(tier, 0, sizeof(*tier));
 	snprintf(tier->name, sizeof(tier->name), "%s", name);
 	return tier;
 }
 
-static int64_t slot_of(pimento_usec_t now, int64_t step)
+static int64_t interval_at(pimento_usec_t now, int64_t step)
 {
-	/* slot 0 marks a bucket that was never used */
+	/* interval 0 marks a bucket that was never used */
 	return now / (step * PIMENTO_SEC) + 1;
 }
 
-static void add(burn_bucket_t *ring, int64_t buckets, int64_t slot, bool good)
+static void bucket_add(burn_bucket_t *ring, int64_t buckets, int64_t interval,
+		       bool good)
 {
-	burn_bucket_t *bucket = &ring[slot % buckets];
+	burn_bucket_t *bucket = &ring[interval % buckets];
 
-	if (bucket->slot != slot)
-		*bucket = (burn_bucket_t){ .slot = slot };
+	if (bucket->interval != interval)
+		*bucket = (burn_bucket_t){ .interval = interval };
 	bucket->total++;
 	bucket->good += good;
 }
 
 void burn_add(burn_t *burn, const char *name, bool good, pimento_usec_t now)
 {
-	burn_tier_t *tier = find_or_take(burn, name);
+	burn_tier_t *tier = find_or_add_tier(burn, name);
 
-	tier->used = now;
-	add(tier->fine, BURN_FINE_BUCKETS, slot_of(now, BURN_FINE_STEP), good);
-	add(tier->coarse, BURN_COARSE_BUCKETS, slot_of(now, BURN_COARSE_STEP),
-	    good);
+	tier->last_used = now;
+	bucket_add(tier->fine, BURN_FINE_BUCKETS,
+		   interval_at(now, BURN_FINE_STEP_S), good);
+	bucket_add(tier->coarse, BURN_COARSE_BUCKETS,
+		   interval_at(now, BURN_COARSE_STEP_S), good);
 }
 
-bool burn_counts(int error)
+bool burn_error_counts(int error)
 {
 	switch (error) {
 	case PIMENTO_EINVAL:
@@ -115,58 +117,59 @@
 	}
 }
 
-static burn_count_t count_at(const burn_bucket_t *ring, int64_t buckets,
-			     int64_t slot)
+static burn_count_t bucket_count(const burn_bucket_t *ring, int64_t buckets,
+				 int64_t interval)
 {
 	const burn_bucket_t *bucket;
 	burn_count_t count = { 0, 0 };
 
-	if (slot < 1)
+	if (interval < 1)
 		return count;
-	bucket = &ring[slot % buckets];
-	if (bucket->slot == slot) {
+	bucket = &ring[interval % buckets];
+	if (bucket->interval == interval) {
 		count.good = bucket->good;
 		count.total = bucket->total;
 	}
 	return count;
 }
 
-static void sum(burn_count_t *to, burn_count_t from)
+static void add_counts(burn_count_t *to, burn_count_t from)
 {
 	to->good += from.good;
 	to->total += from.total;
 }
 
-static burn_count_t window_of(const burn_tier_t *tier, uint32_t seconds,
-			      pimento_usec_t now)
+static burn_count_t window_count(const burn_tier_t *tier, uint32_t seconds,
+				 pimento_usec_t now)
 {
-	bool fine = seconds <= BURN_FINE_STEP * BURN_FINE_BUCKETS;
-	int64_t step = fine ? BURN_FINE_STEP : BURN_COARSE_STEP;
+	bool fine = seconds <= BURN_FINE_STEP_S * BURN_FINE_BUCKETS;
+	int64_t step = fine ? BURN_FINE_STEP_S : BURN_COARSE_STEP_S;
 	int64_t buckets = fine ? BURN_FINE_BUCKETS : BURN_COARSE_BUCKETS;
 	int64_t wanted = (seconds + step - 1) / step;
-	int64_t newest = slot_of(now, step);
+	int64_t newest = interval_at(now, step);
 	burn_count_t total = { 0, 0 };
 
 	if (wanted > buckets)
 		wanted = buckets;
 	for (int64_t age = 0; age < wanted; age++)
-		sum(&total, count_at(fine ? tier->fine : tier->coarse, buckets,
-				     newest - age));
+		add_counts(&total,
+			   bucket_count(fine ? tier->fine : tier->coarse,
+					buckets, newest - age));
 	return total;
 }
 
-burn_count_t burn_window(const burn_t *burn, const char *name, uint32_t seconds,
-			 pimento_usec_t now)
+burn_count_t burn_window_count(const burn_t *burn, const char *name,
+			       uint32_t seconds, pimento_usec_t now)
 {
-	const burn_tier_t *tier = find(burn, name);
+	const burn_tier_t *tier = find_tier(burn, name);
 
-	return tier ? window_of(tier, seconds, now) : (burn_count_t){ 0, 0 };
+	return tier ? window_count(tier, seconds, now) : (burn_count_t){ 0, 0 };
 }
 
-static void find_rank(const pimento_config_t *config, burn_report_t *report)
+static void set_rank(const pimento_config_t *config, burn_report_t *report)
 {
 	report->rank = BURN_RANK_NONE;
-	report->objective = 1 - BUDGET_LAST;
+	report->objective = 1 - LAST_TIER_ERROR_BUDGET;
 	for (uint32_t i = 0; config && i < config->tier_count; i++) {
 		if (strcmp(config->tiers[i].name, report->tier) != 0)
 			continue;
@@ -180,15 +183,15 @@
 		 burn_report_t *report)
 {
 	const burn_tier_t *tier = &burn->tiers[index];
-	int64_t newest = slot_of(now, BURN_COARSE_STEP);
+	int64_t newest = interval_at(now, BURN_COARSE_STEP_S);
 
 	memcpy(report->tier, tier->name, sizeof(report->tier));
-	find_rank(config, report);
+	set_rank(config, report);
 	for (int i = 0; i < BURN_WINDOWS; i++)
 		report->windows[i] =
-			window_of(tier, burn_window_seconds[i], now);
+			window_count(tier, burn_window_seconds[i], now);
 	for (int age = 0; age < BURN_COARSE_BUCKETS; age++)
-		report->series[age] = count_at(
+		report->series[age] = bucket_count(
 			tier->coarse, BURN_COARSE_BUCKETS, newest - age);
 }
 
@@ -199,9 +202,9 @@
 		to->objective = from->objective;
 	}
 	for (int i = 0; i < BURN_WINDOWS; i++)
-		sum(&to->windows[i], from->windows[i]);
+		add_counts(&to->windows[i], from->windows[i]);
 	for (int age = 0; age < BURN_COARSE_BUCKETS; age++)
-		sum(&to->series[age], from->series[age]);
+		add_counts(&to->series[age], from->series[age]);
 }
 
 double burn_objective(uint32_t rank, uint32_t tier_count)
@@ -209,11 +212,13 @@
 	double part;
 
 	if (tier_count < 2 || rank == 0)
-		return 1 - BUDGET_FIRST;
+		return 1 - FIRST_TIER_ERROR_BUDGET;
 	if (rank >= tier_count)
 		rank = tier_count - 1;
 	part = (double)rank / (tier_count - 1);
-	return 1 - BUDGET_FIRST * pow(BUDGET_LAST / BUDGET_FIRST, part);
+	return 1 - FIRST_TIER_ERROR_BUDGET *
+			   pow(LAST_TIER_ERROR_BUDGET / FIRST_TIER_ERROR_BUDGET,
+			       part);
 }
 
 double burn_rate(burn_count_t count, double objective)
@@ -226,28 +231,30 @@
 	return bad / (1 - objective);
 }
 
-static bool over(const burn_report_t *report, int window, double limit)
+static bool rate_exceeds(const burn_report_t *report, int window, double limit)
 {
 	return burn_rate(report->windows[window], report->objective) > limit;
 }
 
-static bool enough(const burn_report_t *report, int window)
+static bool has_min_bad_requests(const burn_report_t *report, int window)
 {
 	const burn_count_t *count = &report->windows[window];
 
-	return count->total >= count->good + BAD_LEAST;
+	return count->total >= count->good + MIN_BAD_REQUESTS;
 }
 
-burn_state_t burn_judge(const burn_report_t *report)
+burn_state_t burn_evaluate(const burn_report_t *report)
 {
-	if (enough(report, WINDOW_1_H) && over(report, WINDOW_1_H, RATE_FAST) &&
-	    over(report, WINDOW_5_MIN, RATE_FAST))
+	if (has_min_bad_requests(report, WINDOW_1_H) &&
+	    rate_exceeds(report, WINDOW_1_H, BURN_RATE_FAST) &&
+	    rate_exceeds(report, WINDOW_5_MIN, BURN_RATE_FAST))
 		return BURN_FAST;
-	if (enough(report, WINDOW_6_H) && over(report, WINDOW_6_H, RATE_SLOW) &&
-	    over(report, WINDOW_30_MIN, RATE_SLOW))
+	if (has_min_bad_requests(report, WINDOW_6_H) &&
+	    rate_exceeds(report, WINDOW_6_H, BURN_RATE_SLOW) &&
+	    rate_exceeds(report, WINDOW_30_MIN, BURN_RATE_SLOW))
 		return BURN_SLOW;
-	if (enough(report, WINDOW_24_H) &&
-	    over(report, WINDOW_24_H, RATE_SPENT))
+	if (has_min_bad_requests(report, WINDOW_24_H) &&
+	    rate_exceeds(report, WINDOW_24_H, BURN_RATE_SPENT))
 		return BURN_SPENT;
 	return report->windows[WINDOW_24_H].total ? BURN_OK : BURN_IDLE;
 }
--- a/src/burn.h
+++ b/src/burn.h
@@ -20,9 +20,9 @@
 #define BURN_WINDOWS 5
 extern const uint32_t burn_window_seconds[BURN_WINDOWS]; /* 5 min to 24 h */
 
-#define BURN_FINE_STEP 10 /* seconds of a bucket, for windows up to 1 h */
+#define BURN_FINE_STEP_S 10 /* seconds of a bucket, for windows up to 1 h */
 #define BURN_FINE_BUCKETS 360
-#define BURN_COARSE_STEP 300 /* for longer windows, and the series */
+#define BURN_COARSE_STEP_S 300 /* for longer windows, and the series */
 #define BURN_COARSE_BUCKETS 288
 
 typedef struct burn_count {
@@ -31,14 +31,14 @@
 } burn_count_t;
 
 typedef struct burn_bucket {
-	int64_t slot; /* time divided by the step; other times are void */
+	int64_t interval; /* time divided by the step; other times are void */
 	uint32_t good;
 	uint32_t total;
 } burn_bucket_t;
 
 typedef struct burn_tier {
 	char name[PIMENTO_NAME_MAX];
-	pimento_usec_t used; /* when last counted */
+	pimento_usec_t last_used; /* when last counted */
 	burn_bucket_t fine[BURN_FINE_BUCKETS];
 	burn_bucket_t coarse[BURN_COARSE_BUCKETS];
 } burn_tier_t;
@@ -62,11 +62,11 @@
  * Whether a refusal with this error is the service's fault and counts as not
  * good. A caller who left, or who sent what can never be served, does not.
  */
-bool burn_counts(int error);
+bool burn_error_counts(int error);
 
 /* Counts of the last seconds; both zero for a tier that is not known. */
-burn_count_t burn_window(const burn_t *burn, const char *tier, uint32_t seconds,
-			 pimento_usec_t now);
+burn_count_t burn_window_count(const burn_t *burn, const char *tier,
+			       uint32_t seconds, pimento_usec_t now);
 
 /* Rank of a tier that the configuration in force does not name. */
 #define BURN_RANK_NONE UINT32_MAX
@@ -121,7 +121,7 @@
  * reported as going on. A long window with less than three bad requests is
  * never judged, whatever its rate.
  */
-burn_state_t burn_judge(const burn_report_t *report);
+burn_state_t burn_evaluate(const burn_report_t *report);
 
 /* Returns "idle", "ok", "spent", "slow" or "fast"; never NULL. */
 const char *burn_state_name(burn_state_t state);
--- a/src/burn_page.c
+++ b/src/burn_page.c
@@ -17,15 +17,15 @@
 #define IMAGE_HEIGHT 150
 #define BAR_WIDTH (PLOT_WIDTH / BURN_COARSE_BUCKETS)
 
-#define RATE_LEAST_TOP 2.0 /* so that the line at 1 is always inside */
-#define HOURS 24
+#define RATE_AXIS_MIN 2.0 /* so that the line at 1 is always inside */
+#define PLOT_HOURS 24
 #define TICK_HOURS 6
 
 static const char *const window_names[BURN_WINDOWS] = { "5 min", "30 min",
 							"1 h", "6 h", "24 h" };
 
-static void rate_text(char *to, size_t size, const burn_report_t *report,
-		      int window)
+static void format_rate(char *to, size_t size, const burn_report_t *report,
+			int window)
 {
 	burn_count_t count = report->windows[window];
 
@@ -35,99 +35,101 @@
 		snprintf(to, size, "%.2f", burn_rate(count, report->objective));
 }
 
-static void objective_text(char *to, size_t size, double objective)
+static void format_objective(char *to, size_t size, double objective)
 {
 	snprintf(to, size, "%.2f %%", objective * 100);
 }
 
-static void add_row(const burn_report_t *report, text_t *text)
+static void add_row(const burn_report_t *report, strbuf_t *text)
 {
 	const burn_count_t *day = &report->windows[BURN_WINDOWS - 1];
 	char cell[32];
 
-	objective_text(cell, sizeof(cell), report->objective);
-	text_add(text, "%-20s %9s", report->tier, cell);
+	format_objective(cell, sizeof(cell), report->objective);
+	strbuf_addf(text, "%-20s %9s", report->tier, cell);
 	for (int i = 0; i < BURN_WINDOWS; i++) {
-		rate_text(cell, sizeof(cell), report, i);
-		text_add(text, " %8s", cell);
+		format_rate(cell, sizeof(cell), report, i);
+		strbuf_addf(text, " %8s", cell);
 	}
-	text_add(text, " %12llu %12llu  %s\n", (unsigned long long)day->good,
-		 (unsigned long long)day->total,
-		 burn_state_name(burn_judge(report)));
+	strbuf_addf(text, " %12llu %12llu  %s\n", (unsigned long long)day->good,
+		    (unsigned long long)day->total,
+		    burn_state_name(burn_evaluate(report)));
 }
 
-void burn_table(const burn_report_t *reports, uint32_t count, text_t *text)
+void burn_write_table(const burn_report_t *reports, uint32_t count,
+		      strbuf_t *text)
 {
-	text_add(text, "%-20s %9s", "TIER", "OBJECTIVE");
+	strbuf_addf(text, "%-20s %9s", "TIER", "OBJECTIVE");
 	for (int i = 0; i < BURN_WINDOWS; i++)
-		text_add(text, " %8s", window_names[i]);
-	text_add(text, " %12s %12s  %s\n", "GOOD 24 h", "ALL 24 h", "STATE");
+		strbuf_addf(text, " %8s", window_names[i]);
+	strbuf_addf(text, " %12s %12s  %s\n", "GOOD 24 h", "ALL 24 h", "STATE");
 	for (uint32_t i = 0; i < count; i++)
 		add_row(&reports[i], text);
 	if (!count)
-		text_add(text, "no request was counted yet\n");
+		strbuf_addf(text, "no request was counted yet\n");
 }
 
-static void add_escaped(text_t *text, const char *from)
+static void add_escaped(strbuf_t *text, const char *from)
 {
 	for (; *from; from++) {
 		if (*from == '<')
-			text_add(text, "&lt;");
+			strbuf_addf(text, "&lt;");
 		else if (*from == '&')
-			text_add(text, "&amp;");
+			strbuf_addf(text, "&amp;");
 		else if (*from == '"')
-			text_add(text, "&quot;");
+			strbuf_addf(text, "&quot;");
 		else if ((unsigned char)*from >= 0x20)
-			text_add_bytes(text, from, 1);
+			strbuf_add(text, from, 1);
 	}
 }
 
 /* Buckets are numbered by age; the newest stands at the right. */
-static double x_of(int age)
+static double bucket_x(int age)
 {
 	return PLOT_LEFT + (BURN_COARSE_BUCKETS - 1 - age) * BAR_WIDTH;
 }
 
-static double y_of(double value, double top)
+static double value_y(double value, double axis_max)
 {
-	double part = value < top ? value / top : 1;
+	double part = value < axis_max ? value / axis_max : 1;
 
 	return PLOT_TOP + PLOT_HEIGHT * (1 - part);
 }
 
-static void add_axes(double top, const char *unit, text_t *text)
+static void add_axes(double axis_max, const char *unit, strbuf_t *text)
 {
 	double bottom = PLOT_TOP + PLOT_HEIGHT;
 
-	text_add(text,
-		 "<line class=\"axis\" x1=\"%d\" y1=\"%.1f\" x2=\"%.1f\" "
-		 "y2=\"%.1f\"/>\n",
-		 PLOT_LEFT, bottom, PLOT_LEFT + PLOT_WIDTH, bottom);
-	text_add(text, "<text class=\"y\" x=\"%d\" y=\"%d\">%g</text>\n",
-		 PLOT_LEFT - 6, PLOT_TOP + 4, top);
-	text_add(text, "<text class=\"y\" x=\"%d\" y=\"%.1f\">0</text>\n",
-		 PLOT_LEFT - 6, bottom + 4);
-	text_add(text, "<text x=\"%d\" y=\"%d\">%s</text>\n", PLOT_LEFT + 4,
-		 PLOT_TOP - 4, unit);
-	for (int hour = 0; hour <= HOURS; hour += TICK_HOURS) {
-		double x = PLOT_LEFT + PLOT_WIDTH * (HOURS - hour) / HOURS;
-
-		text_add(text,
-			 "<text class=\"x\" x=\"%.1f\" y=\"%.1f\">%s%d "
-			 "h</text>\n",
-			 x, bottom + 16, hour ? "-" : "", hour);
+	strbuf_addf(text,
+		    "<line class=\"axis\" x1=\"%d\" y1=\"%.1f\" x2=\"%.1f\" "
+		    "y2=\"%.1f\"/>\n",
+		    PLOT_LEFT, bottom, PLOT_LEFT + PLOT_WIDTH, bottom);
+	strbuf_addf(text, "<text class=\"y\" x=\"%d\" y=\"%d\">%g</text>\n",
+		    PLOT_LEFT - 6, PLOT_TOP + 4, axis_max);
+	strbuf_addf(text, "<text class=\"y\" x=\"%d\" y=\"%.1f\">0</text>\n",
+		    PLOT_LEFT - 6, bottom + 4);
+	strbuf_addf(text, "<text x=\"%d\" y=\"%d\">%s</text>\n", PLOT_LEFT + 4,
+		    PLOT_TOP - 4, unit);
+	for (int hour = 0; hour <= PLOT_HOURS; hour += TICK_HOURS) {
+		double x = PLOT_LEFT +
+			   PLOT_WIDTH * (PLOT_HOURS - hour) / PLOT_HOURS;
+
+		strbuf_addf(text,
+			    "<text class=\"x\" x=\"%.1f\" y=\"%.1f\">%s%d "
+			    "h</text>\n",
+			    x, bottom + 16, hour ? "-" : "", hour);
 	}
 }
 
-static void open_image(const char *label, text_t *text)
+static void begin_svg(const char *label, strbuf_t *text)
 {
-	text_add(text,
-		 "<svg viewBox=\"0 0 %d %d\" role=\"img\" "
-		 "aria-label=\"%s\">\n",
-		 IMAGE_WIDTH, IMAGE_HEIGHT, label);
+	strbuf_addf(text,
+		    "<svg viewBox=\"0 0 %d %d\" role=\"img\" "
+		    "aria-label=\"%s\">\n",
+		    IMAGE_WIDTH, IMAGE_HEIGHT, label);
 }
 
-static uint64_t most_requests(const burn_report_t *report)
+static uint64_t max_bucket_requests(const burn_report_t *report)
 {
 	uint64_t most = 1;
 
@@ -138,47 +140,47 @@
 }
 
 static void add_bar(const char *style, int age, double from, double to,
-		    double top, text_t *text)
+		    double axis_max, strbuf_t *text)
 {
 	if (to <= from)
 		return;
-	text_add(text,
-		 "<rect class=\"%s\" x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" "
-		 "height=\"%.1f\"/>\n",
-		 style, x_of(age), y_of(to, top), BAR_WIDTH,
-		 y_of(from, top) - y_of(to, top));
+	strbuf_addf(text,
+		    "<rect class=\"%s\" x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" "
+		    "height=\"%.1f\"/>\n",
+		    style, bucket_x(age), value_y(to, axis_max), BAR_WIDTH,
+		    value_y(from, axis_max) - value_y(to, axis_max));
 }
 
-static void add_requests(const burn_report_t *report, text_t *text)
+static void add_requests(const burn_report_t *report, strbuf_t *text)
 {
-	double top = (double)most_requests(report);
+	double axis_max = (double)max_bucket_requests(report);
 
-	open_image("requests in five minutes", text);
+	begin_svg("requests in five minutes", text);
 	for (int age = BURN_COARSE_BUCKETS - 1; age >= 0; age--) {
 		double good = (double)report->series[age].good;
 		double total = (double)report->series[age].total;
 
-		add_bar("good", age, 0, good, top, text);
-		add_bar("bad", age, good, total, top, text);
+		add_bar("good", age, 0, good, axis_max, text);
+		add_bar("bad", age, good, total, axis_max, text);
 	}
-	add_axes(top, "requests in 5 min", text);
-	text_add(text, "</svg>\n");
+	add_axes(axis_max, "requests in 5 min", text);
+	strbuf_addf(text, "</svg>\n");
 }
 
 /* The next of 1, 2, 5, 10, 20, 50, ... that is not below the value. */
-static double round_top(double value)
+static double round_up_axis_max(double value)
 {
 	static const double steps[] = { 2, 2.5, 2 };
-	double top = 1;
+	double axis_max = 1;
 
-	for (int i = 0; top < value; i++)
-		top *= steps[i % 3];
-	return top;
+	for (int i = 0; axis_max < value; i++)
+		axis_max *= steps[i % 3];
+	return axis_max;
 }
 
-static double highest_rate(const burn_report_t *report)
+static double rate_axis_max(const burn_report_t *report)
 {
-	double highest = RATE_LEAST_TOP;
+	double highest = RATE_AXIS_MIN;
 
 	for (int age = 0; age < BURN_COARSE_BUCKETS; age++) {
 		double rate = burn_rate(report->series[age], report->objective);
@@ -186,62 +188,64 @@
 		if (rate > highest)
 			highest = rate;
 	}
-	return round_top(highest);
+	return round_up_axis_max(highest);
 }
 
-static void add_rates(const burn_report_t *report, text_t *text)
+static void add_rates(const burn_report_t *report, strbuf_t *text)
 {
-	double top = highest_rate(report);
+	double axis_max = rate_axis_max(report);
 
-	open_image("burn rate", text);
+	begin_svg("burn rate", text);
 	for (int age = BURN_COARSE_BUCKETS - 1; age >= 0; age--) {
 		double rate = burn_rate(report->series[age], report->objective);
 
-		add_bar(rate > 1 ? "bad" : "good", age, 0, rate, top, text);
+		add_bar(rate > 1 ? "bad" : "good", age, 0, rate, axis_max,
+			text);
 	}
-	text_add(text,
-		 "<line class=\"budget\" x1=\"%d\" y1=\"%.1f\" x2=\"%.1f\" "
-		 "y2=\"%.1f\"/>\n",
-		 PLOT_LEFT, y_of(1, top), PLOT_LEFT + PLOT_WIDTH, y_of(1, top));
-	text_add(text, "<text x=\"%.1f\" y=\"%.1f\">1</text>\n",
-		 PLOT_LEFT + PLOT_WIDTH + 4, y_of(1, top) + 4);
-	add_axes(top, "burn rate of 5 min", text);
-	text_add(text, "</svg>\n");
+	strbuf_addf(text,
+		    "<line class=\"budget\" x1=\"%d\" y1=\"%.1f\" x2=\"%.1f\" "
+		    "y2=\"%.1f\"/>\n",
+		    PLOT_LEFT, value_y(1, axis_max), PLOT_LEFT + PLOT_WIDTH,
+		    value_y(1, axis_max));
+	strbuf_addf(text, "<text x=\"%.1f\" y=\"%.1f\">1</text>\n",
+		    PLOT_LEFT + PLOT_WIDTH + 4, value_y(1, axis_max) + 4);
+	add_axes(axis_max, "burn rate of 5 min", text);
+	strbuf_addf(text, "</svg>\n");
 }
 
-static void add_html_row(const burn_report_t *report, text_t *text)
+static void add_html_row(const burn_report_t *report, strbuf_t *text)
 {
-	const char *state = burn_state_name(burn_judge(report));
+	const char *state = burn_state_name(burn_evaluate(report));
 	const burn_count_t *day = &report->windows[BURN_WINDOWS - 1];
 	char cell[32];
 
-	objective_text(cell, sizeof(cell), report->objective);
-	text_add(text, "<tr><th scope=\"row\">");
+	format_objective(cell, sizeof(cell), report->objective);
+	strbuf_addf(text, "<tr><th scope=\"row\">");
 	add_escaped(text, report->tier);
-	text_add(text, "</th><td>%s</td>", cell);
+	strbuf_addf(text, "</th><td>%s</td>", cell);
 	for (int i = 0; i < BURN_WINDOWS; i++) {
-		rate_text(cell, sizeof(cell), report, i);
-		text_add(text, "<td>%s</td>", cell);
+		format_rate(cell, sizeof(cell), report, i);
+		strbuf_addf(text, "<td>%s</td>", cell);
 	}
-	text_add(text,
-		 "<td>%llu</td><td>%llu</td><td class=\"%s\">%s</td></tr>\n",
-		 (unsigned long long)day->good, (unsigned long long)day->total,
-		 state, state);
+	strbuf_addf(text,
+		    "<td>%llu</td><td>%llu</td><td class=\"%s\">%s</td></tr>\n",
+		    (unsigned long long)day->good,
+		    (unsigned long long)day->total, state, state);
 }
 
 static void add_html_table(const burn_report_t *reports, uint32_t count,
-			   text_t *text)
+			   strbuf_t *text)
 {
-	text_add(text, "<table>\n<tr><th scope=\"col\">tier</th>"
-		       "<th scope=\"col\">objective</th>");
+	strbuf_addf(text, "<table>\n<tr><th scope=\"col\">tier</th>"
+			  "<th scope=\"col\">objective</th>");
 	for (int i = 0; i < BURN_WINDOWS; i++)
-		text_add(text, "<th scope=\"col\">%s</th>", window_names[i]);
-	text_add(text, "<th scope=\"col\">good, 24 h</th>"
-		       "<th scope=\"col\">all, 24 h</th>"
-		       "<th scope=\"col\">state</th></tr>\n");
+		strbuf_addf(text, "<th scope=\"col\">%s</th>", window_names[i]);
+	strbuf_addf(text, "<th scope=\"col\">good, 24 h</th>"
+			  "<th scope=\"col\">all, 24 h</th>"
+			  "<th scope=\"col\">state</th></tr>\n");
 	for (uint32_t i = 0; i < count; i++)
 		add_html_row(&reports[i], text);
-	text_add(text, "</table>\n");
+	strbuf_addf(text, "</table>\n");
 }
 
 static const char style[] =
@@ -264,33 +268,34 @@
 	"line.budget { stroke: #444; stroke-dasharray: 4 3 }\n"
 	"</style>\n";
 
-static void add_head(size_t hosts, const char *when, text_t *text)
+static void add_head(size_t hosts, const char *when, strbuf_t *text)
 {
-	text_add(text, "<!DOCTYPE html>\n<html lang=\"en\">\n<head>\n"
-		       "<meta charset=\"utf-8\"/>\n"
-		       "<title>Service-level burn</title>\n");
-	text_add_bytes(text, style, sizeof(style) - 1);
-	text_add(text, "</head>\n<body>\n<h1>Service-level burn</h1>\n<p>");
+	strbuf_addf(text, "<!DOCTYPE html>\n<html lang=\"en\">\n<head>\n"
+			  "<meta charset=\"utf-8\"/>\n"
+			  "<title>Service-level burn</title>\n");
+	strbuf_add(text, style, sizeof(style) - 1);
+	strbuf_addf(text, "</head>\n<body>\n<h1>Service-level burn</h1>\n<p>");
 	add_escaped(text, when);
-	text_add(text,
-		 ", counts of %zu host%s. A request is good if its whole "
-		 "answer came while the caller still cared. Rate 1 uses the "
-		 "error budget up exactly as fast as the objective allows.</p>"
-		 "\n",
-		 hosts, hosts == 1 ? "" : "s");
+	strbuf_addf(
+		text,
+		", counts of %zu host%s. A request is good if its whole "
+		"answer came while the caller still cared. Rate 1 uses the "
+		"error budget up exactly as fast as the objective allows.</p>"
+		"\n",
+		hosts, hosts == 1 ? "" : "s");
 }
 
-void burn_html(const burn_report_t *reports, uint32_t count, size_t hosts,
-	       const char *when, text_t *text)
+void burn_write_html(const burn_report_t *reports, uint32_t count, size_t hosts,
+		     const char *when, strbuf_t *text)
 {
 	add_head(hosts, when, text);
 	add_html_table(reports, count, text);
 	for (uint32_t i = 0; i < count; i++) {
-		text_add(text, "<h2>");
+		strbuf_addf(text, "<h2>");
 		add_escaped(text, reports[i].tier);
-		text_add(text, "</h2>\n");
+		strbuf_addf(text, "</h2>\n");
 		add_requests(&reports[i], text);
 		add_rates(&reports[i], text);
 	}
-	text_add(text, "</body>\n</html>\n");
+	strbuf_addf(text, "</body>\n</html>\n");
 }
--- a/src/burn_page.h
+++ b/src/burn_page.h
@@ -7,12 +7,13 @@
  */
 
 #include "burn.h"
-#include "text.h"
+#include "strbuf.h"
 
-void burn_table(const burn_report_t *reports, uint32_t count, text_t *text);
+void burn_write_table(const burn_report_t *reports, uint32_t count,
+		      strbuf_t *text);
 
 /* hosts says how many hosts the counts are of; when is printed as it is. */
-void burn_html(const burn_report_t *reports, uint32_t count, size_t hosts,
-	       const char *when, text_t *text);
+void burn_write_html(const burn_report_t *reports, uint32_t count, size_t hosts,
+		     const char *when, strbuf_t *text);
 
 #endif
--- a/src/config.c
+++ b/src/config.c
@@ -24,52 +24,53 @@
 	return XXH3_64bits(text, length);
 }
 
-void pimento_config_key_hash(const char *key, size_t length, uint8_t hash[32])
+void pimento_config_hash_key(const char *key, size_t length, uint8_t hash[32])
 {
 	crypto_generichash(hash, 32, (const unsigned char *)key, length, NULL,
 			   0);
 }
 
-bool pimento_config_target(const char *text, config_target_t *target,
-			   char name[PIMENTO_NAME_MAX])
+bool pimento_config_parse_target(const char *text, config_target_t *target,
+				 char name[PIMENTO_NAME_MAX])
 {
 	static const struct {
 		const char *prefix;
 		config_target_t target;
-	} kinds[] = {
+	} target_prefixes[] = {
 		{ "model:", CONFIG_TARGET_MODEL },
 		{ "service:", CONFIG_TARGET_SERVICE },
 	};
 
-	for (size_t i = 0; i < COUNT(kinds); i++) {
-		size_t length = strlen(kinds[i].prefix);
+	for (size_t i = 0; i < COUNT(target_prefixes); i++) {
+		size_t length = strlen(target_prefixes[i].prefix);
 
-		if (strncmp(text, kinds[i].prefix, length) != 0 ||
+		if (strncmp(text, target_prefixes[i].prefix, length) != 0 ||
 		    !fields_is_name(text + length))
 			continue;
-		*target = kinds[i].target;
+		*target = target_prefixes[i].target;
 		snprintf(name, PIMENTO_NAME_MAX, "%s", text + length);
 		return true;
 	}
 	return false;
 }
 
-static bool overlap(const char *a, const char *b)
+static bool patterns_overlap(const char *a, const char *b)
 {
 	return !a[0] || !b[0] || !strcmp(a, b);
 }
 
-bool pimento_config_call_overlaps(const char *method_a, const char *path_a,
+bool pimento_config_calls_overlap(const char *method_a, const char *path_a,
 				  const char *method_b, const char *path_b)
 {
-	return overlap(method_a, method_b) && overlap(path_a, path_b);
+	return patterns_overlap(method_a, method_b) &&
+	       patterns_overlap(path_a, path_b);
 }
 
 /* Paths that the daemon answers itself. */
-static const char *const own_paths[] = { "/v1", "/status", "/metrics",
-					 "/healthz", "/burn" };
+static const char *const reserved_paths[] = { "/v1", "/status", "/metrics",
+					      "/healthz", "/burn" };
 
-static bool below(const char *path, const char *prefix)
+static bool path_has_prefix(const char *path, const char *prefix)
 {
 	size_t length = strlen(prefix);
 
@@ -77,14 +78,14 @@
 	       (path[length] == '/' || !path[length] || path[length] == '?');
 }
 
-const char *pimento_config_prefix_problem(const char *prefix)
+const char *pimento_config_check_prefix(const char *prefix)
 {
 	size_t length = strlen(prefix);
 
 	if (prefix[0] != '/' || length < 2 || prefix[length - 1] == '/')
 		return "must begin with '/' and not end so";
-	for (size_t i = 0; i < COUNT(own_paths); i++)
-		if (below(prefix, own_paths[i]))
+	for (size_t i = 0; i < COUNT(reserved_paths); i++)
+		if (path_has_prefix(prefix, reserved_paths[i]))
 			return "is a path that the daemon answers itself: "
 			       "/v1, /status, /metrics, /healthz or /burn";
 	return NULL;
@@ -107,15 +108,15 @@
 	return (a->id > b->id) - (a->id < b->id);
 }
 
-void pimento_config_sort(pimento_config_t *config)
+void pimento_config_sort_endpoints(pimento_config_t *config)
 {
 	if (config->endpoint_count)
 		qsort(config->endpoints, config->endpoint_count,
 		      sizeof(*config->endpoints), compare_endpoints);
 }
 
-const config_endpoint_t *pimento_config_endpoint(const pimento_config_t *config,
-						 pimento_id_t id)
+const config_endpoint_t *
+pimento_config_find_endpoint(const pimento_config_t *config, pimento_id_t id)
 {
 	config_endpoint_t wanted = { .id = id };
 
@@ -129,15 +130,16 @@
  * Every account is compared whole, so that the time taken tells nothing about
  * how much of a guessed key's hash was right or which account it resembles.
  */
-const config_account_t *pimento_config_account(const pimento_config_t *config,
-					       const uint8_t key_hash[32])
+const config_account_t *
+pimento_config_find_account(const pimento_config_t *config,
+			    const uint8_t key_hash[32])
 {
 	uint32_t found = 0;
 
 	for (uint32_t i = 0; i < config->account_count; i++) {
-		int unlike = sodium_memcmp(config->accounts[i].key_hash,
-					   key_hash, 32);
-		uint32_t mask = (uint32_t)unlike & 1U;
+		int differs = sodium_memcmp(config->accounts[i].key_hash,
+					    key_hash, 32);
+		uint32_t mask = (uint32_t)differs & 1U;
 
 		/* mask is 0 for an equal hash, else 1 */
 		found |= (i + 1) & (mask - 1U);
@@ -145,9 +147,9 @@
 	return found ? &config->accounts[found - 1] : NULL;
 }
 
-static bool fits(const config_contract_t *contract,
-		 const config_account_t *account, const char *name,
-		 config_target_t target, const char *target_name)
+static bool matches_target(const config_contract_t *contract,
+			   const config_account_t *account, const char *name,
+			   config_target_t target, const char *target_name)
 {
 	if (contract->target != target ||
 	    strcmp(contract->target_name, target_name) != 0)
@@ -158,8 +160,8 @@
 	       !strcmp(contract->account, account->name);
 }
 
-static bool fits_call(const config_contract_t *contract, const char *method,
-		      const char *path)
+static bool matches_call(const config_contract_t *contract, const char *method,
+			 const char *path)
 {
 	if (contract->method[0] &&
 	    (!method || strcmp(contract->method, method) != 0))
@@ -168,30 +170,31 @@
 }
 
 const config_contract_t *
-pimento_config_contract(const pimento_config_t *config,
-			const config_account_t *account, const char *name,
-			config_target_t target, const char *target_name,
-			const char *method, const char *path)
+pimento_config_find_contract(const pimento_config_t *config,
+			     const config_account_t *account, const char *name,
+			     config_target_t target, const char *target_name,
+			     const char *method, const char *path)
 {
 	for (uint32_t i = 0; i < config->contract_count; i++) {
 		const config_contract_t *contract = &config->contracts[i];
 
-		if (fits(contract, account, name, target, target_name) &&
-		    fits_call(contract, method, path))
+		if (matches_target(contract, account, name, target,
+				   target_name) &&
+		    matches_call(contract, method, path))
 			return contract;
 	}
 	return NULL;
 }
 
-const config_service_t *pimento_config_service(const pimento_config_t *config,
-					       const char *path)
+const config_service_t *
+pimento_config_find_service(const pimento_config_t *config, const char *path)
 {
 	const config_service_t *best = NULL;
 
 	for (uint32_t i = 0; i < config->service_count; i++) {
 		const config_service_t *service = &config->services[i];
 
-		if (!below(path, service->prefix))
+		if (!path_has_prefix(path, service->prefix))
 			continue;
 		if (!best || strlen(service->prefix) > strlen(best->prefix))
 			best = service;
--- a/src/config.h
+++ b/src/config.h
@@ -10,13 +10,13 @@
 
 #include "../pimentoshelf.h"
 
-#define CONFIG_TEXT_MAX ((size_t)1048576)
+#define CONFIG_MAX_BYTES ((size_t)1048576)
 
 /* How urgent requests are; rank 0 is the most urgent. */
 typedef struct config_tier {
 	char name[PIMENTO_NAME_MAX];
 	uint8_t rank;
-	pimento_usec_t patience; /* span for which the caller still cares */
+	pimento_usec_t timeout; /* span for which the caller still cares */
 } config_tier_t;
 
 /* Who may call. The key itself is never published, only its hash. */
@@ -45,7 +45,7 @@
 	char method[8]; /* services: "POST"; "" any */
 	char path[128]; /* services: exact path below the prefix, "" any */
 	uint8_t tier; /* rank */
-	pimento_usec_t patience;
+	pimento_usec_t timeout;
 	bool repeatable; /* false: needs an idempotency key, runs once */
 	uint32_t answer_tokens; /* estimate where the caller gives none */
 } config_contract_t;
@@ -95,7 +95,7 @@
 typedef struct problems {
 	char *text; /* NUL-terminated, one line each; NULL when none */
 	uint32_t count;
-	uint32_t limit; /* more are counted, not kept */
+	uint32_t max_lines; /* more are counted, not kept */
 } problems_t;
 
 void problems_init(problems_t *problems);
@@ -108,7 +108,7 @@
  * Parses and checks a configuration. text need not be NUL-terminated; file is
  * the name used in problems. Returns 0; PIMENTO_EPARSE with every mistake in
  * problems (config is then empty and needs no finish); PIMENTO_ETOOBIG over
- * CONFIG_TEXT_MAX; PIMENTO_ENOMEM.
+ * CONFIG_MAX_BYTES; PIMENTO_ENOMEM.
  */
 int pimento_config_parse(pimento_config_t *config, const char *text,
 			 size_t length, const char *file, problems_t *problems);
@@ -121,44 +121,44 @@
 uint64_t pimento_config_digest(const char *text, size_t length);
 
 /* Hash of an API key, as it stands in the configuration. */
-void pimento_config_key_hash(const char *key, size_t length, uint8_t hash[32]);
+void pimento_config_hash_key(const char *key, size_t length, uint8_t hash[32]);
 
 /* Splits "model:NAME" or "service:NAME"; returns false if it is neither. */
-bool pimento_config_target(const char *text, config_target_t *target,
-			   char name[PIMENTO_NAME_MAX]);
+bool pimento_config_parse_target(const char *text, config_target_t *target,
+				 char name[PIMENTO_NAME_MAX]);
 
 /* Says what is wrong with a service's path prefix; NULL if nothing is. */
-const char *pimento_config_prefix_problem(const char *prefix);
+const char *pimento_config_check_prefix(const char *prefix);
 
 /*
  * Whether a service's calls under one method and path may also come under the
  * other; an empty text stands for any.
  */
-bool pimento_config_call_overlaps(const char *method_a, const char *path_a,
+bool pimento_config_calls_overlap(const char *method_a, const char *path_a,
 				  const char *method_b, const char *path_b);
 
 /* Puts the endpoints in the order that look-ups need; parsing does it. */
-void pimento_config_sort(pimento_config_t *config);
+void pimento_config_sort_endpoints(pimento_config_t *config);
 
-const config_endpoint_t *pimento_config_endpoint(const pimento_config_t *config,
-						 pimento_id_t id);
+const config_endpoint_t *
+pimento_config_find_endpoint(const pimento_config_t *config, pimento_id_t id);
 const config_account_t *
-pimento_config_account(const pimento_config_t *config,
-		       const uint8_t key_hash[32]); /* constant time */
+pimento_config_find_account(const pimento_config_t *config,
+			    const uint8_t key_hash[32]); /* constant time */
 
 /*
  * Finds the contract of a request. name may be NULL; method and path are those
  * of a service call, else NULL. Returns NULL if the account may not call that.
  */
 const config_contract_t *
-pimento_config_contract(const pimento_config_t *config,
-			const config_account_t *account, const char *name,
-			config_target_t target, const char *target_name,
-			const char *method, const char *path);
+pimento_config_find_contract(const pimento_config_t *config,
+			     const config_account_t *account, const char *name,
+			     config_target_t target, const char *target_name,
+			     const char *method, const char *path);
 
 /* Finds the service whose prefix the path begins with; NULL if none. */
-const config_service_t *pimento_config_service(const pimento_config_t *config,
-					       const char *path);
+const config_service_t *
+pimento_config_find_service(const pimento_config_t *config, const char *path);
 
 typedef struct hostlist_host {
 	char name[PIMENTO_NAME_MAX];
@@ -166,7 +166,7 @@
 	char datacentre[PIMENTO_NAME_MAX];
 	char address[64]; /* entry hosts: of the peer port */
 	uint16_t port;
-	bool endpoint; /* an endpoint's host, not one of ours */
+	bool is_endpoint; /* an endpoint's host, not one of ours */
 	bool leaving;
 } hostlist_host_t;
 
--- a/src/diff.c
+++ b/src/config_diff.c
@@ -5,29 +5,29 @@
  * the same happens are named in one sentence.
  */
 
-#include "diff.h"
+#include "config_diff.h"
 
 #include <stdarg.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define SENTENCE_BYTES 400
+#define SENTENCE_MAX_BYTES 400
 
 typedef struct diff {
 	const pimento_config_t *before;
 	const pimento_config_t *after;
-	text_t *text;
+	strbuf_t *text;
 	int changes;
 } diff_t;
 
 /* One caller and what happens to it. */
-typedef struct effect {
+typedef struct account_change {
 	const char *account;
-	char sentence[SENTENCE_BYTES]; /* "" nothing, or told already */
-} effect_t;
+	char sentence[SENTENCE_MAX_BYTES]; /* "" nothing, or told already */
+} account_change_t;
 
-static void span_text(char *text, size_t size, pimento_usec_t span)
+static void format_duration(char *text, size_t size, pimento_usec_t span)
 {
 	if (span % PIMENTO_SEC)
 		snprintf(text, size, "%lld ms", (long long)(span / 1000));
@@ -35,16 +35,16 @@
 		snprintf(text, size, "%lld s", (long long)(span / PIMENTO_SEC));
 }
 
-__attribute__((format(printf, 2, 3))) static void say(diff_t *diff,
-						      const char *format, ...)
+__attribute__((format(printf, 2, 3))) static void
+add_change(diff_t *diff, const char *format, ...)
 {
-	char sentence[SENTENCE_BYTES];
+	char sentence[SENTENCE_MAX_BYTES];
 	va_list args;
 
 	va_start(args, format);
 	vsnprintf(sentence, sizeof(sentence), format, args);
 	va_end(args);
-	text_add(diff->text, "%s\n", sentence);
+	strbuf_addf(diff->text, "%s\n", sentence);
 	diff->changes++;
 }
 
@@ -91,25 +91,28 @@
 	return NULL;
 }
 
-static void diff_top(diff_t *diff)
+static void diff_toplevel(diff_t *diff)
 {
 	const pimento_config_t *a = diff->before;
 	const pimento_config_t *b = diff->after;
 
 	if (strcmp(a->deployment, b->deployment) != 0)
-		say(diff,
-		    "This is another deployment: \"%s\" instead of \"%s\".",
-		    b->deployment, a->deployment);
+		add_change(
+			diff,
+			"This is another deployment: \"%s\" instead of \"%s\".",
+			b->deployment, a->deployment);
 	if (a->body_max != b->body_max)
-		say(diff,
-		    "Every caller: a request may have %u bytes instead of %u.",
-		    b->body_max, a->body_max);
+		add_change(
+			diff,
+			"Every caller: a request may have %u bytes instead of %u.",
+			b->body_max, a->body_max);
 	if (a->retention != b->retention)
-		say(diff,
-		    "Every caller: an idempotency key is known for %lld s "
-		    "instead of %lld s.",
-		    (long long)(b->retention / PIMENTO_SEC),
-		    (long long)(a->retention / PIMENTO_SEC));
+		add_change(
+			diff,
+			"Every caller: an idempotency key is known for %lld s "
+			"instead of %lld s.",
+			(long long)(b->retention / PIMENTO_SEC),
+			(long long)(a->retention / PIMENTO_SEC));
 }
 
 static void diff_tier(diff_t *diff, const config_tier_t *tier)
@@ -117,13 +120,14 @@
 	const config_tier_t *old = find_tier(diff->before, tier->name);
 
 	if (!old) {
-		say(diff, "Tier \"%s\" is new, at place %u of %u.", tier->name,
-		    tier->rank + 1U, diff->after->tier_count);
+		add_change(diff, "Tier \"%s\" is new, at place %u of %u.",
+			   tier->name, tier->rank + 1U,
+			   diff->after->tier_count);
 		return;
 	}
 	if (old->rank != tier->rank)
-		say(diff, "Tier \"%s\" comes at place %u instead of %u.",
-		    tier->name, tier->rank + 1U, old->rank + 1U);
+		add_change(diff, "Tier \"%s\" comes at place %u instead of %u.",
+			   tier->name, tier->rank + 1U, old->rank + 1U);
 }
 
 static void diff_tiers(diff_t *diff)
@@ -132,8 +136,8 @@
 		diff_tier(diff, &diff->after->tiers[i]);
 	for (uint32_t i = 0; i < diff->before->tier_count; i++)
 		if (!find_tier(diff->after, diff->before->tiers[i].name))
-			say(diff, "Tier \"%s\" goes.",
-			    diff->before->tiers[i].name);
+			add_change(diff, "Tier \"%s\" goes.",
+				   diff->before->tiers[i].name);
 }
 
 static void diff_account(diff_t *diff, const config_account_t *account)
@@ -141,20 +145,22 @@
 	const config_account_t *old = find_account(diff->before, account->name);
 
 	if (!old) {
-		say(diff, "Caller \"%s\" is new.", account->name);
+		add_change(diff, "Caller \"%s\" is new.", account->name);
 		return;
 	}
 	if (memcmp(old->key_hash, account->key_hash, 32) != 0)
-		say(diff,
-		    "Caller \"%s\" has a new API key; the old one is refused.",
-		    account->name);
+		add_change(
+			diff,
+			"Caller \"%s\" has a new API key; the old one is refused.",
+			account->name);
 	if (old->weight != account->weight)
-		say(diff,
-		    "Caller \"%s\" gets a %s share under load (weight %u "
-		    "instead of %u).",
-		    account->name,
-		    account->weight > old->weight ? "larger" : "smaller",
-		    account->weight, old->weight);
+		add_change(
+			diff,
+			"Caller \"%s\" gets a %s share under load (weight %u "
+			"instead of %u).",
+			account->name,
+			account->weight > old->weight ? "larger" : "smaller",
+			account->weight, old->weight);
 }
 
 static void diff_accounts(diff_t *diff)
@@ -163,23 +169,23 @@
 		diff_account(diff, &diff->after->accounts[i]);
 	for (uint32_t i = 0; i < diff->before->account_count; i++)
 		if (!find_account(diff->after, diff->before->accounts[i].name))
-			say(diff, "Caller \"%s\" goes; it is refused.",
-			    diff->before->accounts[i].name);
+			add_change(diff, "Caller \"%s\" goes; it is refused.",
+				   diff->before->accounts[i].name);
 }
 
 /* Appends a clause to a sentence, with a comma after the first. */
 __attribute__((format(printf, 2, 3))) static void
-clause(char *sentence, const char *format, ...)
+append_clause(char *sentence, const char *format, ...)
 {
 	size_t used = strlen(sentence);
 	va_list args;
 
-	if (used && used + 2 < SENTENCE_BYTES) {
+	if (used && used + 2 < SENTENCE_MAX_BYTES) {
 		memcpy(sentence + used, ", ", 3);
 		used += 2;
 	}
 	va_start(args, format);
-	vsnprintf(sentence + used, SENTENCE_BYTES - used, format, args);
+	vsnprintf(sentence + used, SENTENCE_MAX_BYTES - used, format, args);
 	va_end(args);
 }
 
@@ -190,7 +196,7 @@
 	       !strcmp(a->method, b->method) && !strcmp(a->path, b->path);
 }
 
-static void call_text(char *text, size_t size, const config_contract_t *c)
+static void format_call(char *text, size_t size, const config_contract_t *c)
 {
 	if (c->target == CONFIG_TARGET_MODEL)
 		snprintf(text, size, "model \"%s\"", c->target_name);
@@ -206,87 +212,98 @@
 {
 	const char *tier_a = diff->before->tiers[a->tier].name;
 	const char *tier_b = diff->after->tiers[b->tier].name;
-	char now[256];
-	char then[256];
+	char new_text[256];
+	char old_text[256];
 
 	if (!same_call(a, b)) {
-		call_text(now, sizeof(now), b);
-		call_text(then, sizeof(then), a);
-		clause(sentence, "goes to %s instead of %s", now, then);
+		format_call(new_text, sizeof(new_text), b);
+		format_call(old_text, sizeof(old_text), a);
+		append_clause(sentence, "goes to %s instead of %s", new_text,
+			      old_text);
 	}
 	if (strcmp(tier_a, tier_b) != 0)
-		clause(sentence, "is served in tier \"%s\" instead of \"%s\"",
-		       tier_b, tier_a);
-	if (a->patience != b->patience) {
-		span_text(now, sizeof(now), b->patience);
-		span_text(then, sizeof(then), a->patience);
-		clause(sentence, "is given up after %s instead of %s", now,
-		       then);
+		append_clause(sentence,
+			      "is served in tier \"%s\" instead of \"%s\"",
+			      tier_b, tier_a);
+	if (a->timeout != b->timeout) {
+		format_duration(new_text, sizeof(new_text), b->timeout);
+		format_duration(old_text, sizeof(old_text), a->timeout);
+		append_clause(sentence, "is given up after %s instead of %s",
+			      new_text, old_text);
 	}
 	if (a->repeatable != b->repeatable)
-		clause(sentence, "%s",
-		       b->repeatable ? "may now be repeated"
-				     : "may no longer be repeated and needs an "
-				       "idempotency key");
+		append_clause(
+			sentence, "%s",
+			b->repeatable
+				? "may now be repeated"
+				: "may no longer be repeated and needs an "
+				  "idempotency key");
 	if (a->answer_tokens != b->answer_tokens)
-		clause(sentence,
-		       "is expected to have answers of %u tokens instead of %u",
-		       b->answer_tokens, a->answer_tokens);
+		append_clause(
+			sentence,
+			"is expected to have answers of %u tokens instead of %u",
+			b->answer_tokens, a->answer_tokens);
 }
 
-static void find_effect(const diff_t *diff, const char *name, effect_t *effect)
+static void find_account_change(const diff_t *diff, const char *name,
+				account_change_t *account_change)
 {
 	const config_contract_t *a =
-		find_contract(diff->before, effect->account, name);
+		find_contract(diff->before, account_change->account, name);
 	const config_contract_t *b =
-		find_contract(diff->after, effect->account, name);
+		find_contract(diff->after, account_change->account, name);
 
-	effect->sentence[0] = '\0';
+	account_change->sentence[0] = '\0';
 	if (a && b)
-		compare_contracts(diff, effect->sentence, a, b);
+		compare_contracts(diff, account_change->sentence, a, b);
 	else if (b)
-		clause(effect->sentence, "may now be sent, in tier \"%s\"",
-		       diff->after->tiers[b->tier].name);
+		append_clause(account_change->sentence,
+			      "may now be sent, in tier \"%s\"",
+			      diff->after->tiers[b->tier].name);
 	else if (a)
-		clause(effect->sentence, "may no longer be sent");
+		append_clause(account_change->sentence,
+			      "may no longer be sent");
 }
 
-/* Says the first untold effect and marks all that are alike as told. */
-static void say_effect(diff_t *diff, const char *name, effect_t *effects,
-		       uint32_t count, uint32_t first)
+/* Says the first unreported change and marks all equal ones as reported. */
+static void add_account_changes(diff_t *diff, const char *name,
+				account_change_t *account_changes,
+				uint32_t count, uint32_t first)
 {
-	char sentence[SENTENCE_BYTES];
-	uint32_t alike = 0;
+	char sentence[SENTENCE_MAX_BYTES];
+	uint32_t same_count = 0;
 
-	memcpy(sentence, effects[first].sentence, sizeof(sentence));
+	memcpy(sentence, account_changes[first].sentence, sizeof(sentence));
 	for (uint32_t i = first; i < count; i++)
-		alike += !strcmp(effects[i].sentence, sentence);
-	text_add(diff->text, "Request \"%s\" %s, for ", name, sentence);
-	if (alike == count)
-		text_add(diff->text, "every caller");
+		same_count += !strcmp(account_changes[i].sentence, sentence);
+	strbuf_addf(diff->text, "Request \"%s\" %s, for ", name, sentence);
+	if (same_count == count)
+		strbuf_addf(diff->text, "every caller");
 	for (uint32_t i = first; i < count; i++) {
-		if (strcmp(effects[i].sentence, sentence) != 0)
+		if (strcmp(account_changes[i].sentence, sentence) != 0)
 			continue;
-		if (alike != count)
-			text_add(diff->text, "%s\"%s\"", i > first ? ", " : "",
-				 effects[i].account);
-		effects[i].sentence[0] = '\0';
+		if (same_count != count)
+			strbuf_addf(diff->text, "%s\"%s\"",
+				    i > first ? ", " : "",
+				    account_changes[i].account);
+		account_changes[i].sentence[0] = '\0';
 	}
-	text_add(diff->text, ".\n");
+	strbuf_addf(diff->text, ".\n");
 	diff->changes++;
 }
 
-static void diff_request(diff_t *diff, const char *name, effect_t *effects,
-			 uint32_t count)
+static void diff_request(diff_t *diff, const char *name,
+			 account_change_t *account_changes, uint32_t count)
 {
 	for (uint32_t i = 0; i < count; i++)
-		find_effect(diff, name, &effects[i]);
+		find_account_change(diff, name, &account_changes[i]);
 	for (uint32_t i = 0; i < count; i++)
-		if (effects[i].sentence[0])
-			say_effect(diff, name, effects, count, i);
+		if (account_changes[i].sentence[0])
+			add_account_changes(diff, name, account_changes, count,
+					    i);
 }
 
-static bool named_before(const pimento_config_t *config, uint32_t index)
+static bool is_duplicate_name(const pimento_config_t *config, uint32_t index)
 {
 	for (uint32_t i = 0; i < index; i++)
 		if (!strcmp(config->contracts[i].name,
@@ -295,7 +312,7 @@
 	return false;
 }
 
-static bool names_request(const pimento_config_t *config, const char *name)
+static bool has_contract_named(const pimento_config_t *config, const char *name)
 {
 	for (uint32_t i = 0; i < config->contract_count; i++)
 		if (!strcmp(config->contracts[i].name, name))
@@ -303,17 +320,18 @@
 	return false;
 }
 
-static uint32_t list_accounts(const diff_t *diff, effect_t *effects)
+static uint32_t collect_accounts(const diff_t *diff,
+				 account_change_t *account_changes)
 {
 	const pimento_config_t *a = diff->before;
 	const pimento_config_t *b = diff->after;
 	uint32_t count = 0;
 
 	for (uint32_t i = 0; i < b->account_count; i++)
-		effects[count++].account = b->accounts[i].name;
+		account_changes[count++].account = b->accounts[i].name;
 	for (uint32_t i = 0; i < a->account_count; i++)
 		if (!find_account(b, a->accounts[i].name))
-			effects[count++].account = a->accounts[i].name;
+			account_changes[count++].account = a->accounts[i].name;
 	return count;
 }
 
@@ -321,24 +339,24 @@
 {
 	const pimento_config_t *a = diff->before;
 	const pimento_config_t *b = diff->after;
-	effect_t *effects =
+	account_change_t *account_changes =
 		calloc((size_t)a->account_count + b->account_count + 1,
-		       sizeof(*effects));
+		       sizeof(*account_changes));
 	uint32_t count;
 
-	if (!effects)
+	if (!account_changes)
 		return PIMENTO_ENOMEM;
-	count = list_accounts(diff, effects);
+	count = collect_accounts(diff, account_changes);
 	for (uint32_t i = 0; i < b->contract_count; i++)
-		if (!named_before(b, i))
-			diff_request(diff, b->contracts[i].name, effects,
-				     count);
+		if (!is_duplicate_name(b, i))
+			diff_request(diff, b->contracts[i].name,
+				     account_changes, count);
 	for (uint32_t i = 0; i < a->contract_count; i++)
-		if (!named_before(a, i) &&
-		    !names_request(b, a->contracts[i].name))
-			diff_request(diff, a->contracts[i].name, effects,
-				     count);
-	free(effects);
+		if (!is_duplicate_name(a, i) &&
+		    !has_contract_named(b, a->contracts[i].name))
+			diff_request(diff, a->contracts[i].name,
+				     account_changes, count);
+	free(account_changes);
 	return PIMENTO_OK;
 }
 
@@ -352,20 +370,23 @@
 		const config_service_t *old = find_service(a, s->name);
 
 		if (!old)
-			say(diff, "Service \"%s\" is new, below %s.", s->name,
-			    s->prefix);
+			add_change(diff, "Service \"%s\" is new, below %s.",
+				   s->name, s->prefix);
 		else if (strcmp(old->prefix, s->prefix) != 0)
-			say(diff,
-			    "Service \"%s\" is below %s instead of %s, for "
-			    "every caller.",
-			    s->name, s->prefix, old->prefix);
+			add_change(
+				diff,
+				"Service \"%s\" is below %s instead of %s, for "
+				"every caller.",
+				s->name, s->prefix, old->prefix);
 	}
 	for (uint32_t i = 0; i < a->service_count; i++)
 		if (!find_service(b, a->services[i].name))
-			say(diff, "Service \"%s\" goes.", a->services[i].name);
+			add_change(diff, "Service \"%s\" goes.",
+				   a->services[i].name);
 }
 
-static bool same_place(const config_endpoint_t *a, const config_endpoint_t *b)
+static bool same_location(const config_endpoint_t *a,
+			  const config_endpoint_t *b)
 {
 	return a->port == b->port && !strcmp(a->address, b->address) &&
 	       !strcmp(a->datacentre, b->datacentre);
@@ -376,44 +397,48 @@
 {
 	if (a->target != b->target ||
 	    strcmp(a->target_name, b->target_name) != 0)
-		clause(sentence, "serves \"%s\" instead of \"%s\"",
-		       b->target_name, a->target_name);
-	if (!same_place(a, b))
-		clause(sentence, "is at %s:%u in %s instead of %s:%u in %s",
-		       b->address, b->port, b->datacentre, a->address, a->port,
-		       a->datacentre);
+		append_clause(sentence, "serves \"%s\" instead of \"%s\"",
+			      b->target_name, a->target_name);
+	if (!same_location(a, b))
+		append_clause(sentence,
+			      "is at %s:%u in %s instead of %s:%u in %s",
+			      b->address, b->port, b->datacentre, a->address,
+			      a->port, a->datacentre);
 	if (a->concurrency != b->concurrency)
-		clause(sentence, "takes %u requests at once instead of %u",
-		       b->concurrency, a->concurrency);
+		append_clause(sentence,
+			      "takes %u requests at once instead of %u",
+			      b->concurrency, a->concurrency);
 	if (a->context_tokens != b->context_tokens)
-		clause(sentence, "reads %u tokens instead of %u (0: any)",
-		       b->context_tokens, a->context_tokens);
+		append_clause(sentence,
+			      "reads %u tokens instead of %u (0: any)",
+			      b->context_tokens, a->context_tokens);
 	if (a->fencing != b->fencing)
-		clause(sentence, "%s fencing numbers",
-		       b->fencing ? "now checks" : "no longer checks");
+		append_clause(sentence, "%s fencing numbers",
+			      b->fencing ? "now checks" : "no longer checks");
 }
 
 static void diff_endpoint(diff_t *diff, const config_endpoint_t *endpoint)
 {
 	const config_endpoint_t *old =
-		pimento_config_endpoint(diff->before, endpoint->id);
-	char sentence[SENTENCE_BYTES] = "";
+		pimento_config_find_endpoint(diff->before, endpoint->id);
+	char sentence[SENTENCE_MAX_BYTES] = "";
 
 	if (!old) {
-		say(diff,
-		    "Endpoint \"%s\" in %s is new: it serves \"%s\", %u "
-		    "requests at once.",
-		    endpoint->name, endpoint->datacentre, endpoint->target_name,
-		    endpoint->concurrency);
+		add_change(diff,
+			   "Endpoint \"%s\" in %s is new: it serves \"%s\", %u "
+			   "requests at once.",
+			   endpoint->name, endpoint->datacentre,
+			   endpoint->target_name, endpoint->concurrency);
 		return;
 	}
 	compare_endpoints(sentence, old, endpoint);
 	if (sentence[0])
-		say(diff, "Endpoint \"%s\" %s.", endpoint->name, sentence);
+		add_change(diff, "Endpoint \"%s\" %s.", endpoint->name,
+			   sentence);
 }
 
 /* Endpoints are kept by identity; people want them by name. */
-static int by_name(const void *left, const void *right)
+static int compare_endpoint_names(const void *left, const void *right)
 {
 	const config_endpoint_t *const *a = left;
 	const config_endpoint_t *const *b = right;
@@ -421,7 +446,7 @@
 	return strcmp((*a)->name, (*b)->name);
 }
 
-static const config_endpoint_t **sorted(const pimento_config_t *config)
+static const config_endpoint_t **sort_endpoints(const pimento_config_t *config)
 {
 	const config_endpoint_t **list = calloc(
 		(size_t)config->endpoint_count + 1, sizeof(const void *));
@@ -430,35 +455,37 @@
 		return NULL;
 	for (uint32_t i = 0; i < config->endpoint_count; i++)
 		list[i] = &config->endpoints[i];
-	qsort(list, config->endpoint_count, sizeof(const void *), by_name);
+	qsort(list, config->endpoint_count, sizeof(const void *),
+	      compare_endpoint_names);
 	return list;
 }
 
 static int diff_endpoints(diff_t *diff)
 {
-	const config_endpoint_t **before = sorted(diff->before);
-	const config_endpoint_t **after = sorted(diff->after);
+	const config_endpoint_t **before = sort_endpoints(diff->before);
+	const config_endpoint_t **after = sort_endpoints(diff->after);
 	int error = before && after ? PIMENTO_OK : PIMENTO_ENOMEM;
 
 	for (uint32_t i = 0; !error && i < diff->after->endpoint_count; i++)
 		diff_endpoint(diff, after[i]);
 	for (uint32_t i = 0; !error && i < diff->before->endpoint_count; i++)
-		if (!pimento_config_endpoint(diff->after, before[i]->id))
-			say(diff,
-			    "Endpoint \"%s\" goes; it gets no new requests.",
-			    before[i]->name);
+		if (!pimento_config_find_endpoint(diff->after, before[i]->id))
+			add_change(
+				diff,
+				"Endpoint \"%s\" goes; it gets no new requests.",
+				before[i]->name);
 	free((void *)before);
 	free((void *)after);
 	return error;
 }
 
-int diff_configs(const pimento_config_t *old_config,
-		 const pimento_config_t *new_config, text_t *text)
+int config_diff(const pimento_config_t *old_config,
+		const pimento_config_t *new_config, strbuf_t *text)
 {
 	diff_t diff = { old_config, new_config, text, 0 };
 	int error;
 
-	diff_top(&diff);
+	diff_toplevel(&diff);
 	diff_tiers(&diff);
 	diff_accounts(&diff);
 	error = diff_requests(&diff);
@@ -468,5 +495,5 @@
 	error = diff_endpoints(&diff);
 	if (error)
 		return error;
-	return text_error(text) ? PIMENTO_ENOMEM : diff.changes;
+	return strbuf_error(text) ? PIMENTO_ENOMEM : diff.changes;
 }
--- a/src/config_parse.c
+++ b/src/config_parse.c
@@ -18,12 +18,12 @@
 
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
-#define BODY_MAX_DEFAULT 1048576
-#define BODY_MAX_LIMIT 67108864
+#define BODY_DEFAULT_BYTES 1048576
+#define BODY_MAX_BYTES 67108864
 #define RETENTION_DEFAULT_S 600
 #define RETENTION_MAX_S 86400
-#define PATIENCE_MIN_MS 50
-#define PATIENCE_MAX_MS 86400000
+#define TIMEOUT_MIN_MS 50
+#define TIMEOUT_MAX_MS 86400000
 #define ANSWER_TOKENS_DEFAULT 256
 #define TOKENS_MAX 10000000
 #define WEIGHT_MAX 1000
@@ -48,15 +48,15 @@
 	char target[PIMENTO_NAME_MAX + 8];
 } raw_endpoint_t;
 
-typedef struct raw_top {
+typedef struct raw_toplevel {
 	char deployment[PIMENTO_NAME_MAX];
 	char digest[DIGEST_DIGITS + 1];
 	uint32_t body_max;
 	pimento_usec_t retention;
-} raw_top_t;
+} raw_toplevel_t;
 
 /* What one parse works on. */
-typedef struct reader {
+typedef struct parser {
 	fields_source_t source;
 	const toml_node_t *root;
 	pimento_config_t *config;
@@ -66,88 +66,92 @@
 	uint32_t contract_count;
 	raw_endpoint_t *endpoints;
 	uint32_t endpoint_count;
-	raw_top_t top;
-} reader_t;
+	raw_toplevel_t toplevel;
+} parser_t;
 
-#define AT(type, member) offsetof(type, member)
-#define TARGET_MAX (PIMENTO_NAME_MAX + 7)
+#define OFFSET(type, member) offsetof(type, member)
+#define TARGET_MAX_LENGTH (PIMENTO_NAME_MAX + 7)
 
-static const field_t top_fields[] = {
-	{ "deployment", FIELD_NAME, true, AT(raw_top_t, deployment), 0, 0,
-	  NULL },
-	{ "digest", FIELD_TEXT, false, AT(raw_top_t, digest), DIGEST_DIGITS,
-	  DIGEST_DIGITS, NULL },
-	{ "body_max", FIELD_U32, false, AT(raw_top_t, body_max), 1024,
-	  BODY_MAX_LIMIT, NULL },
-	{ "retention_s", FIELD_SEC, false, AT(raw_top_t, retention), 10,
-	  RETENTION_MAX_S, NULL },
-	{ "tier", FIELD_TABLES, false, 0, 0, 0, NULL },
-	{ "account", FIELD_TABLES, false, 0, 0, 0, NULL },
-	{ "contract", FIELD_TABLES, false, 0, 0, 0, NULL },
-	{ "service", FIELD_TABLES, false, 0, 0, 0, NULL },
-	{ "endpoint", FIELD_TABLES, false, 0, 0, 0, NULL },
+static const field_t toplevel_fields[] = {
+	{ "deployment", FIELD_NAME, true, OFFSET(raw_toplevel_t, deployment), 0,
+	  0, NULL },
+	{ "digest", FIELD_TEXT, false, OFFSET(raw_toplevel_t, digest),
+	  DIGEST_DIGITS, DIGEST_DIGITS, NULL },
+	{ "body_max", FIELD_U32, false, OFFSET(raw_toplevel_t, body_max), 1024,
+	  BODY_MAX_BYTES, NULL },
+	{ "retention_s", FIELD_SEC, false, OFFSET(raw_toplevel_t, retention),
+	  10, RETENTION_MAX_S, NULL },
+	{ "tier", FIELD_TABLE_ARRAY, false, 0, 0, 0, NULL },
+	{ "account", FIELD_TABLE_ARRAY, false, 0, 0, 0, NULL },
+	{ "contract", FIELD_TABLE_ARRAY, false, 0, 0, 0, NULL },
+	{ "service", FIELD_TABLE_ARRAY, false, 0, 0, 0, NULL },
+	{ "endpoint", FIELD_TABLE_ARRAY, false, 0, 0, 0, NULL },
 };
 
 static const field_t tier_fields[] = {
-	{ "name", FIELD_NAME, true, AT(config_tier_t, name), 0, 0, NULL },
-	{ "rank", FIELD_U8, true, AT(config_tier_t, rank), 0,
+	{ "name", FIELD_NAME, true, OFFSET(config_tier_t, name), 0, 0, NULL },
+	{ "rank", FIELD_U8, true, OFFSET(config_tier_t, rank), 0,
 	  PIMENTO_TIERS_MAX - 1, NULL },
-	{ "patience_ms", FIELD_MSEC, true, AT(config_tier_t, patience),
-	  PATIENCE_MIN_MS, PATIENCE_MAX_MS, NULL },
+	{ "patience_ms", FIELD_MSEC, true, OFFSET(config_tier_t, timeout),
+	  TIMEOUT_MIN_MS, TIMEOUT_MAX_MS, NULL },
 };
 
 static const field_t account_fields[] = {
-	{ "name", FIELD_NAME, true, AT(config_account_t, name), 0, 0, NULL },
-	{ "key_hash", FIELD_HEX32, true, AT(config_account_t, key_hash), 0, 0,
+	{ "name", FIELD_NAME, true, OFFSET(config_account_t, name), 0, 0,
 	  NULL },
-	{ "weight", FIELD_U32, false, AT(config_account_t, weight), 1,
+	{ "key_hash", FIELD_HEX32, true, OFFSET(config_account_t, key_hash), 0,
+	  0, NULL },
+	{ "weight", FIELD_U32, false, OFFSET(config_account_t, weight), 1,
 	  WEIGHT_MAX, NULL },
 };
 
 static const field_t contract_fields[] = {
-	{ "name", FIELD_NAME, true, AT(raw_contract_t, contract.name), 0, 0,
-	  NULL },
-	{ "account", FIELD_TEXT, true, AT(raw_contract_t, contract.account), 1,
-	  PIMENTO_NAME_MAX - 1, NULL },
-	{ "target", FIELD_TEXT, true, AT(raw_contract_t, target), 1, TARGET_MAX,
+	{ "name", FIELD_NAME, true, OFFSET(raw_contract_t, contract.name), 0, 0,
 	  NULL },
-	{ "tier", FIELD_NAME, true, AT(raw_contract_t, tier), 0, 0, NULL },
+	{ "account", FIELD_TEXT, true, OFFSET(raw_contract_t, contract.account),
+	  1, PIMENTO_NAME_MAX - 1, NULL },
+	{ "target", FIELD_TEXT, true, OFFSET(raw_contract_t, target), 1,
+	  TARGET_MAX_LENGTH, NULL },
+	{ "tier", FIELD_NAME, true, OFFSET(raw_contract_t, tier), 0, 0, NULL },
 	{ "patience_ms", FIELD_MSEC, false,
-	  AT(raw_contract_t, contract.patience), PATIENCE_MIN_MS,
-	  PATIENCE_MAX_MS, NULL },
+	  OFFSET(raw_contract_t, contract.timeout), TIMEOUT_MIN_MS,
+	  TIMEOUT_MAX_MS, NULL },
 	{ "repeatable", FIELD_BOOL, false,
-	  AT(raw_contract_t, contract.repeatable), 0, 0, NULL },
+	  OFFSET(raw_contract_t, contract.repeatable), 0, 0, NULL },
 	{ "answer_tokens", FIELD_U32, false,
-	  AT(raw_contract_t, contract.answer_tokens), 1, TOKENS_MAX, NULL },
-	{ "method", FIELD_TEXT, false, AT(raw_contract_t, contract.method), 0,
-	  7, NULL },
-	{ "path", FIELD_TEXT, false, AT(raw_contract_t, contract.path), 0, 127,
-	  NULL },
+	  OFFSET(raw_contract_t, contract.answer_tokens), 1, TOKENS_MAX, NULL },
+	{ "method", FIELD_TEXT, false, OFFSET(raw_contract_t, contract.method),
+	  0, 7, NULL },
+	{ "path", FIELD_TEXT, false, OFFSET(raw_contract_t, contract.path), 0,
+	  127, NULL },
 };
 
 static const field_t service_fields[] = {
-	{ "name", FIELD_NAME, true, AT(config_service_t, name), 0, 0, NULL },
-	{ "prefix", FIELD_TEXT, true, AT(config_service_t, prefix), 1, 63,
+	{ "name", FIELD_NAME, true, OFFSET(config_service_t, name), 0, 0,
+	  NULL },
+	{ "prefix", FIELD_TEXT, true, OFFSET(config_service_t, prefix), 1, 63,
 	  NULL },
 };
 
 static const field_t endpoint_fields[] = {
-	{ "name", FIELD_NAME, true, AT(raw_endpoint_t, endpoint.name), 0, 0,
+	{ "name", FIELD_NAME, true, OFFSET(raw_endpoint_t, endpoint.name), 0, 0,
 	  NULL },
 	{ "datacentre", FIELD_NAME, true,
-	  AT(raw_endpoint_t, endpoint.datacentre), 0, 0, NULL },
-	{ "target", FIELD_TEXT, true, AT(raw_endpoint_t, target), 1, TARGET_MAX,
-	  NULL },
-	{ "address", FIELD_ADDRESS, true, AT(raw_endpoint_t, endpoint.address),
-	  0, 0, NULL },
-	{ "port", FIELD_U16, true, AT(raw_endpoint_t, endpoint.port), 1, 65535,
-	  NULL },
-	{ "fencing", FIELD_BOOL, false, AT(raw_endpoint_t, endpoint.fencing), 0,
-	  0, NULL },
+	  OFFSET(raw_endpoint_t, endpoint.datacentre), 0, 0, NULL },
+	{ "target", FIELD_TEXT, true, OFFSET(raw_endpoint_t, target), 1,
+	  TARGET_MAX_LENGTH, NULL },
+	{ "address", FIELD_ADDRESS, true,
+	  OFFSET(raw_endpoint_t, endpoint.address), 0, 0, NULL },
+	{ "port", FIELD_U16, true, OFFSET(raw_endpoint_t, endpoint.port), 1,
+	  65535, NULL },
+	{ "fencing", FIELD_BOOL, false,
+	  OFFSET(raw_endpoint_t, endpoint.fencing), 0, 0, NULL },
 	{ "concurrency", FIELD_U32, true,
-	  AT(raw_endpoint_t, endpoint.concurrency), 1, CONCURRENCY_MAX, NULL },
+	  OFFSET(raw_endpoint_t, endpoint.concurrency), 1, CONCURRENCY_MAX,
+	  NULL },
 	{ "context_tokens", FIELD_U32, false,
-	  AT(raw_endpoint_t, endpoint.context_tokens), 0, TOKENS_MAX, NULL },
+	  OFFSET(raw_endpoint_t, endpoint.context_tokens), 0, TOKENS_MAX,
+	  NULL },
 };
 
 static const config_tier_t tier_defaults;
@@ -159,70 +163,74 @@
 static const config_service_t service_defaults;
 static const raw_endpoint_t endpoint_defaults;
 
-#define LIST(name, type, least, most)                                     \
+#define TABLE_ARRAY(name, type, min_count, max_count)                     \
 	{                                                                 \
 #name, name##_fields, COUNT(name##_fields), sizeof(type), \
-			&name##_defaults, least, most                     \
+			&name##_defaults, min_count, max_count            \
 	}
 
 static const fields_list_t tier_list =
-	LIST(tier, config_tier_t, 1, PIMENTO_TIERS_MAX);
+	TABLE_ARRAY(tier, config_tier_t, 1, PIMENTO_TIERS_MAX);
 static const fields_list_t account_list =
-	LIST(account, config_account_t, 1, ACCOUNTS_MAX);
+	TABLE_ARRAY(account, config_account_t, 1, ACCOUNTS_MAX);
 static const fields_list_t contract_list =
-	LIST(contract, raw_contract_t, 1, CONTRACTS_MAX);
+	TABLE_ARRAY(contract, raw_contract_t, 1, CONTRACTS_MAX);
 static const fields_list_t service_list =
-	LIST(service, config_service_t, 0, SERVICES_MAX);
+	TABLE_ARRAY(service, config_service_t, 0, SERVICES_MAX);
 static const fields_list_t endpoint_list =
-	LIST(endpoint, raw_endpoint_t, 1, ENDPOINTS_MAX);
+	TABLE_ARRAY(endpoint, raw_endpoint_t, 1, ENDPOINTS_MAX);
 
-static int read_lists(reader_t *reader)
+static int read_lists(parser_t *parser)
 {
 	const struct {
 		const fields_list_t *list;
 		void **elements;
 		uint32_t *count;
 	} lists[] = {
-		{ &tier_list, (void **)&reader->tiers, &reader->tier_count },
-		{ &account_list, (void **)&reader->config->accounts,
-		  &reader->config->account_count },
-		{ &contract_list, (void **)&reader->contracts,
-		  &reader->contract_count },
-		{ &service_list, (void **)&reader->config->services,
-		  &reader->config->service_count },
-		{ &endpoint_list, (void **)&reader->endpoints,
-		  &reader->endpoint_count },
+		{ &tier_list, (void **)&parser->tiers, &parser->tier_count },
+		{ &account_list, (void **)&parser->config->accounts,
+		  &parser->config->account_count },
+		{ &contract_list, (void **)&parser->contracts,
+		  &parser->contract_count },
+		{ &service_list, (void **)&parser->config->services,
+		  &parser->config->service_count },
+		{ &endpoint_list, (void **)&parser->endpoints,
+		  &parser->endpoint_count },
 	};
 	int error = PIMENTO_OK;
 
 	for (size_t i = 0; i < COUNT(lists) && !error; i++)
-		error = fields_read_list(&reader->source, reader->root,
+		error = fields_read_list(&parser->source, parser->root,
 					 lists[i].list, lists[i].elements,
 					 lists[i].count);
 	return error;
 }
 
-#define TARGET_HELP "must be \"model:NAME\" or \"service:NAME\""
+#define TARGET_FORMAT_MESSAGE "must be \"model:NAME\" or \"service:NAME\""
 
-static void split_targets(reader_t *reader)
+static void parse_targets(parser_t *parser)
 {
-	for (uint32_t i = 0; i < reader->contract_count; i++) {
-		raw_contract_t *raw = &reader->contracts[i];
+	for (uint32_t i = 0; i < parser->contract_count; i++) {
+		raw_contract_t *raw = &parser->contracts[i];
 
 		if (raw->target[0] &&
-		    !pimento_config_target(raw->target, &raw->contract.target,
-					   raw->contract.target_name))
-			fields_problem(&reader->source, reader->root,
-				       "contract", i, "target", TARGET_HELP);
+		    !pimento_config_parse_target(raw->target,
+						 &raw->contract.target,
+						 raw->contract.target_name))
+			fields_add_problem(&parser->source, parser->root,
+					   "contract", i, "target",
+					   TARGET_FORMAT_MESSAGE);
 	}
-	for (uint32_t i = 0; i < reader->endpoint_count; i++) {
-		raw_endpoint_t *raw = &reader->endpoints[i];
+	for (uint32_t i = 0; i < parser->endpoint_count; i++) {
+		raw_endpoint_t *raw = &parser->endpoints[i];
 
 		if (raw->target[0] &&
-		    !pimento_config_target(raw->target, &raw->endpoint.target,
-					   raw->endpoint.target_name))
-			fields_problem(&reader->source, reader->root,
-				       "endpoint", i, "target", TARGET_HELP);
+		    !pimento_config_parse_target(raw->target,
+						 &raw->endpoint.target,
+						 raw->endpoint.target_name))
+			fields_add_problem(&parser->source, parser->root,
+					   "endpoint", i, "target",
+					   TARGET_FORMAT_MESSAGE);
 	}
 }
 
@@ -242,11 +250,11 @@
 	return false;
 }
 
-static bool has_endpoint(const reader_t *reader, config_target_t target,
+static bool has_endpoint(const parser_t *parser, config_target_t target,
 			 const char *name)
 {
-	for (uint32_t i = 0; i < reader->endpoint_count; i++) {
-		const config_endpoint_t *e = &reader->endpoints[i].endpoint;
+	for (uint32_t i = 0; i < parser->endpoint_count; i++) {
+		const config_endpoint_t *e = &parser->endpoints[i].endpoint;
 
 		if (e->target == target && !strcmp(e->target_name, name))
 			return true;
@@ -254,77 +262,81 @@
 	return false;
 }
 
-static const config_tier_t *find_tier(const reader_t *reader, const char *name)
+static const config_tier_t *find_tier(const parser_t *parser, const char *name)
 {
-	for (uint32_t i = 0; i < reader->tier_count; i++)
-		if (!strcmp(reader->tiers[i].name, name))
-			return &reader->tiers[i];
+	for (uint32_t i = 0; i < parser->tier_count; i++)
+		if (!strcmp(parser->tiers[i].name, name))
+			return &parser->tiers[i];
 	return NULL;
 }
 
-static void check_contract_target(const reader_t *reader, uint32_t index)
+static void check_contract_target(const parser_t *parser, uint32_t index)
 {
-	const config_contract_t *c = &reader->contracts[index].contract;
+	const config_contract_t *c = &parser->contracts[index].contract;
 	bool service = c->target == CONFIG_TARGET_SERVICE;
 
 	if (!c->target)
 		return;
-	if (service && !has_service(reader->config, c->target_name))
-		fields_problem(&reader->source, reader->root, "contract", index,
-			       "target", "no [[service]] is named \"%s\"",
-			       c->target_name);
-	if (!has_endpoint(reader, c->target, c->target_name))
-		fields_problem(&reader->source, reader->root, "contract", index,
-			       "target", "no endpoint serves \"%s\"",
-			       reader->contracts[index].target);
+	if (service && !has_service(parser->config, c->target_name))
+		fields_add_problem(&parser->source, parser->root, "contract",
+				   index, "target",
+				   "no [[service]] is named \"%s\"",
+				   c->target_name);
+	if (!has_endpoint(parser, c->target, c->target_name))
+		fields_add_problem(&parser->source, parser->root, "contract",
+				   index, "target", "no endpoint serves \"%s\"",
+				   parser->contracts[index].target);
 	if (!service && (c->method[0] || c->path[0]))
-		fields_problem(&reader->source, reader->root, "contract", index,
-			       c->method[0] ? "method" : "path",
-			       "is for services only");
+		fields_add_problem(&parser->source, parser->root, "contract",
+				   index, c->method[0] ? "method" : "path",
+				   "is for services only");
 	if (c->path[0] && c->path[0] != '/')
-		fields_problem(&reader->source, reader->root, "contract", index,
-			       "path", "must begin with '/'");
+		fields_add_problem(&parser->source, parser->root, "contract",
+				   index, "path", "must begin with '/'");
 }
 
-static void check_contract(reader_t *reader, uint32_t index)
+static void check_contract(parser_t *parser, uint32_t index)
 {
-	raw_contract_t *raw = &reader->contracts[index];
+	raw_contract_t *raw = &parser->contracts[index];
 	config_contract_t *c = &raw->contract;
-	const config_tier_t *tier = find_tier(reader, raw->tier);
+	const config_tier_t *tier = find_tier(parser, raw->tier);
 
 	if (c->account[0] && strcmp(c->account, "*") != 0 &&
-	    !has_account(reader->config, c->account))
-		fields_problem(&reader->source, reader->root, "contract", index,
-			       "account", "no account is named \"%s\"",
-			       c->account);
+	    !has_account(parser->config, c->account))
+		fields_add_problem(&parser->source, parser->root, "contract",
+				   index, "account",
+				   "no account is named \"%s\"", c->account);
 	if (tier) {
 		c->tier = tier->rank;
-		if (!c->patience)
-			c->patience = tier->patience;
+		if (!c->timeout)
+			c->timeout = tier->timeout;
 	} else if (raw->tier[0]) {
-		fields_problem(&reader->source, reader->root, "contract", index,
-			       "tier", "no tier is named \"%s\"", raw->tier);
+		fields_add_problem(&parser->source, parser->root, "contract",
+				   index, "tier", "no tier is named \"%s\"",
+				   raw->tier);
 	}
 	if (strspn(c->method, "ABCDEFGHIJKLMNOPQRSTUVWXYZ") !=
 	    strlen(c->method))
-		fields_problem(&reader->source, reader->root, "contract", index,
-			       "method",
-			       "must be upper case, such as \"POST\"");
-	check_contract_target(reader, index);
+		fields_add_problem(&parser->source, parser->root, "contract",
+				   index, "method",
+				   "must be upper case, such as \"POST\"");
+	check_contract_target(parser, index);
 }
 
-static bool share_account(const config_contract_t *a,
-			  const config_contract_t *b)
+static bool accounts_overlap(const config_contract_t *a,
+			     const config_contract_t *b)
 {
 	return !strcmp(a->account, "*") || !strcmp(b->account, "*") ||
 	       !strcmp(a->account, b->account);
 }
 
-static bool same_call(const config_contract_t *a, const config_contract_t *b)
+static bool calls_overlap(const config_contract_t *a,
+			  const config_contract_t *b)
 {
 	return a->target == CONFIG_TARGET_SERVICE && b->target == a->target &&
-	       !strcmp(a->target_name, b->target_name) && share_account(a, b) &&
-	       pimento_config_call_overlaps(a->method, a->path, b->method,
+	       !strcmp(a->target_name, b->target_name) &&
+	       accounts_overlap(a, b) &&
+	       pimento_config_calls_overlap(a->method, a->path, b->method,
 					    b->path);
 }
 
@@ -333,92 +345,97 @@
  * could name another contract that fits it too; it could then run twice. No
  * call may therefore fit two contracts that differ in this.
  */
-static void check_overlaps(const reader_t *reader)
+static void check_repeat_conflicts(const parser_t *parser)
 {
-	for (uint32_t i = 0; i < reader->contract_count; i++) {
-		const config_contract_t *a = &reader->contracts[i].contract;
+	for (uint32_t i = 0; i < parser->contract_count; i++) {
+		const config_contract_t *a = &parser->contracts[i].contract;
 
 		for (uint32_t j = 0; j < i; j++) {
 			const config_contract_t *b =
-				&reader->contracts[j].contract;
+				&parser->contracts[j].contract;
 
-			if (a->repeatable == b->repeatable || !same_call(a, b))
+			if (a->repeatable == b->repeatable ||
+			    !calls_overlap(a, b))
 				continue;
-			fields_problem(&reader->source, reader->root,
-				       "contract", i, "repeatable",
-				       "contract \"%s\" fits the same calls "
-				       "and says otherwise",
-				       b->name);
+			fields_add_problem(
+				&parser->source, parser->root, "contract", i,
+				"repeatable",
+				"contract \"%s\" fits the same calls "
+				"and says otherwise",
+				b->name);
 		}
 	}
 }
 
-static void check_contract_names(const reader_t *reader)
+static void check_contract_names(const parser_t *parser)
 {
-	for (uint32_t i = 0; i < reader->contract_count; i++) {
-		const config_contract_t *a = &reader->contracts[i].contract;
+	for (uint32_t i = 0; i < parser->contract_count; i++) {
+		const config_contract_t *a = &parser->contracts[i].contract;
 
 		for (uint32_t j = 0; j < i && a->name[0]; j++) {
 			const config_contract_t *b =
-				&reader->contracts[j].contract;
+				&parser->contracts[j].contract;
 
 			if (strcmp(a->name, b->name) != 0 ||
 			    strcmp(a->account, b->account) != 0)
 				continue;
-			fields_problem(&reader->source, reader->root,
-				       "contract", i, "name",
-				       "\"%s\" stands twice for account \"%s\"",
-				       a->name, a->account);
+			fields_add_problem(
+				&parser->source, parser->root, "contract", i,
+				"name",
+				"\"%s\" stands twice for account \"%s\"",
+				a->name, a->account);
 			break;
 		}
 	}
 }
 
-static void check_tiers(reader_t *reader)
+static void order_tiers_by_rank(parser_t *parser)
 {
-	config_tier_t *tiers = reader->config->tiers;
+	config_tier_t *tiers = parser->config->tiers;
 
-	for (uint32_t i = 0; i < reader->tier_count; i++) {
-		const config_tier_t *tier = &reader->tiers[i];
+	for (uint32_t i = 0; i < parser->tier_count; i++) {
+		const config_tier_t *tier = &parser->tiers[i];
 
-		if (tier->rank >= reader->tier_count)
-			fields_problem(&reader->source, reader->root, "tier", i,
-				       "rank",
-				       "ranks count from 0 without gap");
+		if (tier->rank >= parser->tier_count)
+			fields_add_problem(&parser->source, parser->root,
+					   "tier", i, "rank",
+					   "ranks count from 0 without gap");
 		else if (tiers[tier->rank].name[0])
-			fields_problem(&reader->source, reader->root, "tier", i,
-				       "rank", "tier \"%s\" has it too",
-				       tiers[tier->rank].name);
+			fields_add_problem(&parser->source, parser->root,
+					   "tier", i, "rank",
+					   "tier \"%s\" has it too",
+					   tiers[tier->rank].name);
 		else
 			tiers[tier->rank] = *tier;
 	}
-	reader->config->tier_count = reader->tier_count;
+	parser->config->tier_count = parser->tier_count;
 }
 
-static void check_service(const reader_t *reader, uint32_t index)
+static void check_service(const parser_t *parser, uint32_t index)
 {
-	const char *prefix = reader->config->services[index].prefix;
-	const char *wrong = pimento_config_prefix_problem(prefix);
+	const char *prefix = parser->config->services[index].prefix;
+	const char *problem = pimento_config_check_prefix(prefix);
 
-	if (prefix[0] && wrong)
-		fields_problem(&reader->source, reader->root, "service", index,
-			       "prefix", "%s", wrong);
+	if (prefix[0] && problem)
+		fields_add_problem(&parser->source, parser->root, "service",
+				   index, "prefix", "%s", problem);
 }
 
-static void check_endpoint(const reader_t *reader, uint32_t index)
+static void check_endpoint(const parser_t *parser, uint32_t index)
 {
-	const config_endpoint_t *e = &reader->endpoints[index].endpoint;
+	const config_endpoint_t *e = &parser->endpoints[index].endpoint;
 
 	if (e->target == CONFIG_TARGET_SERVICE &&
-	    !has_service(reader->config, e->target_name))
-		fields_problem(&reader->source, reader->root, "endpoint", index,
-			       "target", "no [[service]] is named \"%s\"",
-			       e->target_name);
+	    !has_service(parser->config, e->target_name))
+		fields_add_problem(&parser->source, parser->root, "endpoint",
+				   index, "target",
+				   "no [[service]] is named \"%s\"",
+				   e->target_name);
 }
 
-static int check_unique(const reader_t *reader)
+static int check_unique(const parser_t *parser)
 {
-	const pimento_config_t *config = reader->config;
+	const pimento_config_t *config = parser->config;
 	const struct {
 		const fields_list_t *list;
 		const void *elements;
@@ -426,28 +443,28 @@
 		const char *key;
 		size_t offset;
 	} lists[] = {
-		{ &tier_list, reader->tiers, reader->tier_count, "name",
-		  AT(config_tier_t, name) },
+		{ &tier_list, parser->tiers, parser->tier_count, "name",
+		  OFFSET(config_tier_t, name) },
 		{ &account_list, config->accounts, config->account_count,
-		  "name", AT(config_account_t, name) },
+		  "name", OFFSET(config_account_t, name) },
 		{ &service_list, config->services, config->service_count,
-		  "name", AT(config_service_t, name) },
+		  "name", OFFSET(config_service_t, name) },
 		{ &service_list, config->services, config->service_count,
-		  "prefix", AT(config_service_t, prefix) },
-		{ &endpoint_list, reader->endpoints, reader->endpoint_count,
-		  "name", AT(raw_endpoint_t, endpoint.name) },
+		  "prefix", OFFSET(config_service_t, prefix) },
+		{ &endpoint_list, parser->endpoints, parser->endpoint_count,
+		  "name", OFFSET(raw_endpoint_t, endpoint.name) },
 	};
 	int error = PIMENTO_OK;
 
 	for (size_t i = 0; i < COUNT(lists) && !error; i++)
-		error = fields_unique(&reader->source, reader->root,
-				      lists[i].list, lists[i].elements,
-				      lists[i].count, lists[i].key,
-				      lists[i].offset);
+		error = fields_check_unique(&parser->source, parser->root,
+					    lists[i].list, lists[i].elements,
+					    lists[i].count, lists[i].key,
+					    lists[i].offset);
 	return error;
 }
 
-static int compare_places(const void *left, const void *right)
+static int compare_addresses(const void *left, const void *right)
 {
 	const raw_endpoint_t *a = *(const raw_endpoint_t *const *)left;
 	const raw_endpoint_t *b = *(const raw_endpoint_t *const *)right;
@@ -460,7 +477,7 @@
 	return (a > b) - (a < b);
 }
 
-static bool same_place(const config_endpoint_t *a, const config_endpoint_t *b)
+static bool same_address(const config_endpoint_t *a, const config_endpoint_t *b)
 {
 	return a->port && a->port == b->port && !strcmp(a->address, b->address);
 }
@@ -469,22 +486,23 @@
  * One process under two names would have two owners, each of which believes
  * that what the other let in is not there; it would get twice its limit.
  */
-static int check_places(const reader_t *reader)
+static int check_addresses(const parser_t *parser)
 {
 	const raw_endpoint_t **sorted = calloc(
-		(size_t)reader->endpoint_count + 1, sizeof(const void *));
+		(size_t)parser->endpoint_count + 1, sizeof(const void *));
 
 	if (!sorted)
 		return PIMENTO_ENOMEM;
-	for (uint32_t i = 0; i < reader->endpoint_count; i++)
-		sorted[i] = &reader->endpoints[i];
-	qsort((void *)sorted, reader->endpoint_count, sizeof(const void *),
-	      compare_places);
-	for (uint32_t i = 1; i < reader->endpoint_count; i++)
-		if (same_place(&sorted[i - 1]->endpoint, &sorted[i]->endpoint))
-			fields_problem(
-				&reader->source, reader->root, "endpoint",
-				(uint32_t)(sorted[i] - reader->endpoints),
+	for (uint32_t i = 0; i < parser->endpoint_count; i++)
+		sorted[i] = &parser->endpoints[i];
+	qsort((void *)sorted, parser->endpoint_count, sizeof(const void *),
+	      compare_addresses);
+	for (uint32_t i = 1; i < parser->endpoint_count; i++)
+		if (same_address(&sorted[i - 1]->endpoint,
+				 &sorted[i]->endpoint))
+			fields_add_problem(
+				&parser->source, parser->root, "endpoint",
+				(uint32_t)(sorted[i] - parser->endpoints),
 				"port", "endpoint \"%s\" is at the same place",
 				sorted[i - 1]->endpoint.name);
 	free((void *)sorted);
@@ -492,146 +510,148 @@
 }
 
 /* Two accounts with one key could not be told apart. */
-static void check_key_hashes(const reader_t *reader)
+static void check_key_hashes(const parser_t *parser)
 {
-	const config_account_t *accounts = reader->config->accounts;
+	const config_account_t *accounts = parser->config->accounts;
 
-	for (uint32_t i = 0; i < reader->config->account_count; i++)
+	for (uint32_t i = 0; i < parser->config->account_count; i++)
 		for (uint32_t j = 0; j < i; j++)
 			if (!sodium_is_zero(accounts[i].key_hash, 32) &&
 			    !memcmp(accounts[i].key_hash, accounts[j].key_hash,
 				    32))
-				fields_problem(&reader->source, reader->root,
-					       "account", i, "key_hash",
-					       "account \"%s\" has it too",
-					       accounts[j].name);
+				fields_add_problem(&parser->source,
+						   parser->root, "account", i,
+						   "key_hash",
+						   "account \"%s\" has it too",
+						   accounts[j].name);
 }
 
 /*
  * The digest stands on the first line and covers all that follows that line.
  * It is no signature: it notices a text that was cut short or changed by hand.
  */
-static void check_digest(reader_t *reader, const char *text, size_t length)
+static void check_digest(parser_t *parser, const char *text, size_t length)
 {
 	const char *end = memchr(text, '\n', length);
-	const toml_node_t *node = toml_get(reader->root, "digest");
+	const toml_node_t *node = toml_get(parser->root, "digest");
 	char expected[DIGEST_DIGITS + 1];
 	size_t line = end ? (size_t)(end - text) + 1 : length;
 	uint64_t digest;
 
-	if (!reader->top.digest[0]) {
-		reader->config->digest = XXH3_64bits(text, length);
+	if (!parser->toplevel.digest[0]) {
+		parser->config->digest = XXH3_64bits(text, length);
 		return;
 	}
 	digest = pimento_config_digest(text + line, length - line);
 	snprintf(expected, sizeof(expected), "%016llx",
 		 (unsigned long long)digest);
 	if (toml_line(node) != 1)
-		problems_add(reader->source.problems, reader->source.file,
+		problems_add(parser->source.problems, parser->source.file,
 			     toml_line(node), "digest",
 			     "must stand on the first line");
-	else if (strcmp(expected, reader->top.digest) != 0)
-		problems_add(reader->source.problems, reader->source.file, 1,
+	else if (strcmp(expected, parser->toplevel.digest) != 0)
+		problems_add(parser->source.problems, parser->source.file, 1,
 			     "digest",
 			     "does not fit the text, which gives %s: generate "
 			     "it again instead of changing it by hand",
 			     expected);
-	reader->config->digest = digest;
+	parser->config->digest = digest;
 }
 
 /* Moves what was read raw into the configuration. */
-static int move_lists(reader_t *reader)
+static int fill_config(parser_t *parser)
 {
-	pimento_config_t *config = reader->config;
+	pimento_config_t *config = parser->config;
 
 	config->contracts =
-		calloc(reader->contract_count + 1, sizeof(*config->contracts));
+		calloc(parser->contract_count + 1, sizeof(*config->contracts));
 	config->endpoints =
-		calloc(reader->endpoint_count + 1, sizeof(*config->endpoints));
+		calloc(parser->endpoint_count + 1, sizeof(*config->endpoints));
 	if (!config->contracts || !config->endpoints)
 		return PIMENTO_ENOMEM;
-	for (uint32_t i = 0; i < reader->contract_count; i++)
-		config->contracts[i] = reader->contracts[i].contract;
-	config->contract_count = reader->contract_count;
-	for (uint32_t i = 0; i < reader->endpoint_count; i++) {
-		config->endpoints[i] = reader->endpoints[i].endpoint;
+	for (uint32_t i = 0; i < parser->contract_count; i++)
+		config->contracts[i] = parser->contracts[i].contract;
+	config->contract_count = parser->contract_count;
+	for (uint32_t i = 0; i < parser->endpoint_count; i++) {
+		config->endpoints[i] = parser->endpoints[i].endpoint;
 		config->endpoints[i].id = pimento_id(config->endpoints[i].name);
 	}
-	config->endpoint_count = reader->endpoint_count;
+	config->endpoint_count = parser->endpoint_count;
 	for (uint32_t i = 0; i < config->account_count; i++)
 		config->accounts[i].id = pimento_id(config->accounts[i].name);
-	pimento_config_sort(config);
+	pimento_config_sort_endpoints(config);
 	return PIMENTO_OK;
 }
 
-static int check_all(reader_t *reader)
+static int check_document(parser_t *parser)
 {
-	int error = check_unique(reader);
+	int error = check_unique(parser);
 
 	if (!error)
-		error = check_places(reader);
+		error = check_addresses(parser);
 	if (error)
 		return error;
-	split_targets(reader);
-	check_tiers(reader);
-	check_key_hashes(reader);
-	for (uint32_t i = 0; i < reader->config->service_count; i++)
-		check_service(reader, i);
-	for (uint32_t i = 0; i < reader->endpoint_count; i++)
-		check_endpoint(reader, i);
-	for (uint32_t i = 0; i < reader->contract_count; i++)
-		check_contract(reader, i);
-	check_contract_names(reader);
-	check_overlaps(reader);
+	parse_targets(parser);
+	order_tiers_by_rank(parser);
+	check_key_hashes(parser);
+	for (uint32_t i = 0; i < parser->config->service_count; i++)
+		check_service(parser, i);
+	for (uint32_t i = 0; i < parser->endpoint_count; i++)
+		check_endpoint(parser, i);
+	for (uint32_t i = 0; i < parser->contract_count; i++)
+		check_contract(parser, i);
+	check_contract_names(parser);
+	check_repeat_conflicts(parser);
 	return PIMENTO_OK;
 }
 
-static int read_all(reader_t *reader, const char *text, size_t length)
+static int read_document(parser_t *parser, const char *text, size_t length)
 {
-	pimento_config_t *config = reader->config;
-	uint32_t before = reader->source.problems->count;
+	pimento_config_t *config = parser->config;
+	uint32_t before = parser->source.problems->count;
 	int error;
 
-	reader->top.body_max = BODY_MAX_DEFAULT;
-	reader->top.retention = RETENTION_DEFAULT_S * PIMENTO_SEC;
-	fields_read(&reader->source, reader->root, "", top_fields,
-		    COUNT(top_fields), &reader->top);
-	error = read_lists(reader);
+	parser->toplevel.body_max = BODY_DEFAULT_BYTES;
+	parser->toplevel.retention = RETENTION_DEFAULT_S * PIMENTO_SEC;
+	fields_read(&parser->source, parser->root, "", toplevel_fields,
+		    COUNT(toplevel_fields), &parser->toplevel);
+	error = read_lists(parser);
 	if (error)
 		return error;
-	error = check_all(reader);
+	error = check_document(parser);
 	if (error)
 		return error;
-	check_digest(reader, text, length);
-	memcpy(config->deployment, reader->top.deployment, PIMENTO_NAME_MAX);
-	config->body_max = reader->top.body_max;
-	config->retention = reader->top.retention;
-	if (reader->source.problems->count != before)
+	check_digest(parser, text, length);
+	memcpy(config->deployment, parser->toplevel.deployment,
+	       PIMENTO_NAME_MAX);
+	config->body_max = parser->toplevel.body_max;
+	config->retention = parser->toplevel.retention;
+	if (parser->source.problems->count != before)
 		return PIMENTO_EPARSE;
-	return move_lists(reader);
+	return fill_config(parser);
 }
 
 int pimento_config_parse(pimento_config_t *config, const char *text,
 			 size_t length, const char *file, problems_t *problems)
 {
-	reader_t reader = { .source = { file, problems }, .config = config };
+	parser_t parser = { .source = { file, problems }, .config = config };
 	toml_document_t document;
 	int error;
 
 	memset(config, 0, sizeof(*config));
-	if (length > CONFIG_TEXT_MAX)
+	if (length > CONFIG_MAX_BYTES)
 		return PIMENTO_ETOOBIG;
-	error = toml_init(&document, text, length);
+	error = toml_parse(&document, text, length);
 	if (error == PIMENTO_EPARSE)
 		problems_add(problems, file, document.error_line, "syntax",
 			     "%s", document.error);
 	if (error)
 		return error;
-	reader.root = document.root;
-	error = read_all(&reader, text, length);
-	free(reader.tiers);
-	free(reader.contracts);
-	free(reader.endpoints);
+	parser.root = document.root;
+	error = read_document(&parser, text, length);
+	free(parser.tiers);
+	free(parser.contracts);
+	free(parser.endpoints);
 	toml_finish(&document);
 	if (error)
 		pimento_config_finish(config);
--- a/src/edge_settings.c
+++ b/src/edge_settings.c
@@ -5,18 +5,18 @@
 #include <string.h>
 
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
-#define AT(member) offsetof(edge_settings_t, member)
-#define TEXT(key, member)                                                   \
-	{                                                                   \
-		key, FIELD_TEXT, true, AT(member), 1, EDGE_ADDRESS_MAX - 1, \
-			NULL                                                \
+#define OFFSET(member) offsetof(edge_settings_t, member)
+#define ADDRESS_FIELD(key, member)                        \
+	{                                                 \
+		key, FIELD_TEXT, true, OFFSET(member), 1, \
+			EDGE_ADDRESS_MAX - 1, NULL        \
 	}
 
 /* Fractions too: the platform states some of its bounds as such. */
-#define NUMBER(key, member, min)                                               \
-	{                                                                      \
-		key, FIELD_FRACTION, false, AT(member), min, VARINT_BYTES_MAX, \
-			NULL                                                   \
+#define NUMBER_FIELD(key, member, min)                         \
+	{                                                      \
+		key, FIELD_DOUBLE, false, OFFSET(member), min, \
+			VARINT_BYTES_MAX, NULL                 \
 	}
 #define VARINT_BYTES_MAX 1000000000
 
@@ -24,7 +24,7 @@
 #define MEMORY_MB_DEFAULT 256
 #define DESCRIPTORS_DEFAULT 1024
 #define STOP_SECONDS_DEFAULT 8
-#define REVOKE_MS_DEFAULT 5000
+#define KEY_REVOKE_MS_DEFAULT 5000
 #define WINDOW_S_DEFAULT 10
 /*
  * Repeats for each request, and beside them for all hosts in one window. A
@@ -34,7 +34,7 @@
 #define RETRY_RATIO_DEFAULT 0.2
 #define RETRY_SLACK_DEFAULT 50
 
-static const field_t top_fields[] = {
+static const field_t toplevel_fields[] = {
 	{ "host", FIELD_TABLE, true, 0, 0, 0, NULL },
 	{ "listen", FIELD_TABLE, true, 0, 0, 0, NULL },
 	{ "peers", FIELD_TABLE, false, 0, 0, 0, NULL },
@@ -44,41 +44,42 @@
 };
 
 static const field_t host_fields[] = {
-	{ "name", FIELD_TEXT, true, AT(name), 1, PIMENTO_NAME_MAX - 1, NULL },
-	{ "datacentre", FIELD_TEXT, true, AT(datacentre), 1,
+	{ "name", FIELD_TEXT, true, OFFSET(name), 1, PIMENTO_NAME_MAX - 1,
+	  NULL },
+	{ "datacentre", FIELD_TEXT, true, OFFSET(datacentre), 1,
 	  PIMENTO_NAME_MAX - 1, NULL },
-	{ "address", FIELD_ADDRESS, true, AT(address), 0, 0, NULL },
-	{ "first_start", FIELD_BOOL, false, AT(first_start), 0, 0, NULL },
+	{ "address", FIELD_ADDRESS, true, OFFSET(address), 0, 0, NULL },
+	{ "first_start", FIELD_BOOL, false, OFFSET(first_start), 0, 0, NULL },
 };
 
 static const field_t listen_fields[] = {
-	TEXT("callers", callers),
-	TEXT("health", health),
-	TEXT("peers", peers),
-	{ "gossip_port", FIELD_U16, true, AT(gossip_port), 1, UINT16_MAX,
+	ADDRESS_FIELD("callers", callers),
+	ADDRESS_FIELD("health", health),
+	ADDRESS_FIELD("peers", peers),
+	{ "gossip_port", FIELD_U16, true, OFFSET(gossip_port), 1, UINT16_MAX,
 	  NULL },
 };
 
 static const field_t peers_fields[] = {
-	{ "seeds", FIELD_STRINGS, false, 0, 0, 0, NULL },
+	{ "seeds", FIELD_STRING_ARRAY, false, 0, 0, 0, NULL },
 };
 
 static const field_t store_fields[] = {
-	TEXT("address", store),
+	ADDRESS_FIELD("address", store),
 };
 
 static const field_t limits_fields[] = {
-	NUMBER("memory_mb", memory_mb, 1),
-	NUMBER("descriptors", descriptors, 64),
-	NUMBER("stop_seconds", stop_seconds, 1),
+	NUMBER_FIELD("memory_mb", memory_mb, 1),
+	NUMBER_FIELD("descriptors", descriptors, 64),
+	NUMBER_FIELD("stop_seconds", stop_seconds, 1),
 };
 
 static const field_t bounds_fields[] = {
-	NUMBER("key_revoke_ms", key_revoke_ms, 1),
-	NUMBER("retry_ratio", retry_ratio, 0),
-	NUMBER("retry_slack", retry_slack, 0),
-	NUMBER("retry_window_s", retry_window_s, 1),
-	NUMBER("quota_window_s", quota_window_s, 1),
+	NUMBER_FIELD("key_revoke_ms", key_revoke_ms, 1),
+	NUMBER_FIELD("retry_ratio", retry_ratio, 0),
+	NUMBER_FIELD("retry_slack", retry_slack, 0),
+	NUMBER_FIELD("retry_window_s", retry_window_s, 1),
+	NUMBER_FIELD("quota_window_s", quota_window_s, 1),
 };
 
 static const struct {
@@ -102,7 +103,7 @@
 	char address[64];
 	uint16_t port;
 
-	if (*text && fields_address_port(text, address, &port))
+	if (*text && fields_parse_address_port(text, address, &port))
 		problems_add(source->problems, source->file, toml_line(node),
 			     key, "%s is not an address and a port", text);
 }
@@ -145,20 +146,20 @@
 		.memory_mb = MEMORY_MB_DEFAULT,
 		.descriptors = DESCRIPTORS_DEFAULT,
 		.stop_seconds = STOP_SECONDS_DEFAULT,
-		.key_revoke_ms = REVOKE_MS_DEFAULT,
+		.key_revoke_ms = KEY_REVOKE_MS_DEFAULT,
 		.retry_ratio = RETRY_RATIO_DEFAULT,
 		.retry_slack = RETRY_SLACK_DEFAULT,
 		.retry_window_s = WINDOW_S_DEFAULT,
 		.quota_window_s = WINDOW_S_DEFAULT,
 	};
-	error = toml_init(&document, text, length);
+	error = toml_parse(&document, text, length);
 	if (error) {
 		problems_add(problems, file, document.error_line, "", "%s",
 			     document.error);
 		return error;
 	}
-	fields_read(&source, document.root, "", top_fields, COUNT(top_fields),
-		    settings);
+	fields_read(&source, document.root, "", toplevel_fields,
+		    COUNT(toplevel_fields), settings);
 	for (size_t i = 0; i < COUNT(tables); i++)
 		fields_read(&source, toml_get(document.root, tables[i].key),
 			    tables[i].key, tables[i].fields, tables[i].count,
--- a/src/explain.c
+++ b/src/explain.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define VALUE_BYTES 96
+#define VALUE_MAX_BYTES 96
 
 static const struct {
 	const char *why;
@@ -47,7 +47,7 @@
 	{ "unreached", "nobody answered at the endpoint's address" },
 };
 
-const char *explain_why(const char *why)
+const char *explain_reason(const char *why)
 {
 	for (size_t i = 0; i < sizeof(meanings) / sizeof(meanings[0]); i++)
 		if (strcmp(meanings[i].why, why) == 0)
@@ -68,7 +68,8 @@
 }
 
 /* The value of a key in a line, into value; "" if it has none. */
-static void value_of(const char *line, const char *key, char value[VALUE_BYTES])
+static void get_value(const char *line, const char *key,
+		      char value[VALUE_MAX_BYTES])
 {
 	size_t length = strlen(key);
 	const char *at = line;
@@ -82,28 +83,28 @@
 		if (!starts || *at != '=')
 			continue;
 		span = strcspn(++at, " \n");
-		if (span >= VALUE_BYTES)
-			span = VALUE_BYTES - 1;
+		if (span >= VALUE_MAX_BYTES)
+			span = VALUE_MAX_BYTES - 1;
 		memcpy(value, at, span);
 		value[span] = '\0';
 		return;
 	}
 }
 
-static bool is_of(const char *line, const char *id)
+static bool has_request_id(const char *line, const char *id)
 {
-	char value[VALUE_BYTES];
+	char value[VALUE_MAX_BYTES];
 
-	value_of(line, "id", value);
+	get_value(line, "id", value);
 	return strcmp(value, id) == 0;
 }
 
-static void keep(explain_t *explain, const char *line)
+static void append_line(explain_t *explain, const char *line)
 {
-	uint32_t size = explain->size ? explain->size * 2 : 8;
+	uint32_t size = explain->capacity ? explain->capacity * 2 : 8;
 	char *copy = strdup(line);
 
-	if (explain->count == explain->size && copy) {
+	if (explain->count == explain->capacity && copy) {
 		char **grown = realloc(explain->lines, size * sizeof(char *));
 
 		if (!grown) {
@@ -111,64 +112,65 @@
 			copy = NULL;
 		} else {
 			explain->lines = grown;
-			explain->size = size;
+			explain->capacity = size;
 		}
 	}
 	if (!copy) {
-		explain->failed = true;
+		explain->out_of_memory = true;
 		return;
 	}
 	copy[strcspn(copy, "\n")] = '\0';
 	explain->lines[explain->count++] = copy;
 }
 
-void explain_line(explain_t *explain, const char *line)
+void explain_add_line(explain_t *explain, const char *line)
 {
-	if (is_of(line, explain->id))
-		keep(explain, line);
+	if (has_request_id(line, explain->id))
+		append_line(explain, line);
 }
 
-static double time_of(const char *line)
+static double line_time(const char *line)
 {
-	char value[VALUE_BYTES];
+	char value[VALUE_MAX_BYTES];
 
-	value_of(line, "at", value);
+	get_value(line, "at", value);
 	return strtod(value, NULL);
 }
 
-static int by_time(const void *a, const void *b)
+static int compare_line_times(const void *a, const void *b)
 {
-	double x = time_of(*(char *const *)a);
-	double y = time_of(*(char *const *)b);
+	double x = line_time(*(char *const *)a);
+	double y = line_time(*(char *const *)b);
 
 	return x < y ? -1 : x > y;
 }
 
-static void write_cause(const explain_t *explain, text_t *text)
+static void write_cause(const explain_t *explain, strbuf_t *text)
 {
 	const char *last = explain->lines[explain->count - 1];
-	char why[VALUE_BYTES];
-	char event[VALUE_BYTES];
-	char host[VALUE_BYTES];
+	char why[VALUE_MAX_BYTES];
+	char event[VALUE_MAX_BYTES];
+	char host[VALUE_MAX_BYTES];
 	const char *meaning;
 
-	value_of(last, "why", why);
-	value_of(last, "event", event);
-	value_of(last, "host", host);
-	meaning = explain_why(why);
-	text_add(text, "%s at %s: %s (%s)\n", event, host,
-		 meaning ? meaning : "not known to this program", why);
+	get_value(last, "why", why);
+	get_value(last, "event", event);
+	get_value(last, "host", host);
+	meaning = explain_reason(why);
+	strbuf_addf(text, "%s at %s: %s (%s)\n", event, host,
+		    meaning ? meaning : "not known to this program", why);
 }
 
-int explain_write(explain_t *explain, text_t *text)
+int explain_write(explain_t *explain, strbuf_t *text)
 {
-	if (explain->failed)
+	if (explain->out_of_memory)
 		return PIMENTO_ENOMEM;
 	if (!explain->count)
 		return 0;
-	qsort(explain->lines, explain->count, sizeof(char *), by_time);
+	qsort(explain->lines, explain->count, sizeof(char *),
+	      compare_line_times);
 	for (uint32_t i = 0; i < explain->count; i++)
-		text_add(text, "%s\n", explain->lines[i]);
+		strbuf_addf(text, "%s\n", explain->lines[i]);
 	write_cause(explain, text);
-	return text_error(text) ? PIMENTO_ENOMEM : (int)explain->count;
+	return strbuf_error(text) ? PIMENTO_ENOMEM : (int)explain->count;
 }
--- a/src/fields.c
+++ b/src/fields.c
@@ -16,7 +16,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PATH_BYTES 128
+#define KEY_PATH_MAX_BYTES 128
 
 bool fields_is_name(const char *text)
 {
@@ -49,7 +49,7 @@
 	return true;
 }
 
-int fields_hex32(const char *text, uint8_t bytes[32])
+int fields_parse_hex32(const char *text, uint8_t bytes[32])
 {
 	size_t length = strlen(text);
 	size_t written = 0;
@@ -65,7 +65,8 @@
 	return PIMENTO_OK;
 }
 
-int fields_address_port(const char *text, char address[64], uint16_t *port)
+int fields_parse_address_port(const char *text, char address[64],
+			      uint16_t *port)
 {
 	const char *colon = strrchr(text, ':');
 	size_t length = colon ? (size_t)(colon - text) : 0;
@@ -94,7 +95,7 @@
 }
 
 /* Returns a string value without control characters, or NULL. */
-static const char *plain_string(const toml_node_t *node, size_t *length)
+static const char *printable_string(const toml_node_t *node, size_t *length)
 {
 	const char *text;
 
@@ -107,7 +108,7 @@
 			     char *to)
 {
 	size_t length;
-	const char *text = plain_string(node, &length);
+	const char *text = printable_string(node, &length);
 
 	if (!text)
 		return "must be a string without control characters";
@@ -122,7 +123,7 @@
 static const char *read_name(const toml_node_t *node, char *to)
 {
 	size_t length;
-	const char *text = plain_string(node, &length);
+	const char *text = printable_string(node, &length);
 
 	if (!text || !fields_is_name(text))
 		return "must be a name of 1 to 47 bytes: lower-case letters, "
@@ -135,7 +136,7 @@
 static const char *read_address(const toml_node_t *node, char *to)
 {
 	size_t length;
-	const char *text = plain_string(node, &length);
+	const char *text = printable_string(node, &length);
 
 	if (!text || length >= 64 || !is_address(text))
 		return "must be an IP number, such as \"127.0.0.1\"";
@@ -146,9 +147,9 @@
 static const char *read_hex32(const toml_node_t *node, uint8_t *to)
 {
 	size_t length;
-	const char *text = plain_string(node, &length);
+	const char *text = printable_string(node, &length);
 
-	if (!text || fields_hex32(text, to))
+	if (!text || fields_parse_hex32(text, to))
 		return "must be 64 hexadecimal digits";
 	return NULL;
 }
@@ -195,12 +196,12 @@
 	return NULL;
 }
 
-static const char *read_fraction(const field_t *field, const toml_node_t *node,
-				 double *to, char *reason, size_t size)
+static const char *read_double(const field_t *field, const toml_node_t *node,
+			       double *to, char *reason, size_t size)
 {
 	double value;
 
-	if (!toml_fraction(node, &value))
+	if (!toml_number(node, &value))
 		return "must be a number";
 	if (!(value >= (double)field->min && value <= (double)field->max)) {
 		snprintf(reason, size, "must lie between %lld and %lld",
@@ -214,14 +215,14 @@
 static const struct {
 	const char *unit;
 	pimento_usec_t usec;
-} units[] = {
+} duration_units[] = {
 	{ "ms", PIMENTO_MSEC },	      { "s", PIMENTO_SEC },
 	{ "min", 60 * PIMENTO_SEC },  { "h", 3600 * PIMENTO_SEC },
 	{ "d", 86400 * PIMENTO_SEC },
 };
 
-/* Returns the span, or -1 if the text is none. */
-static pimento_usec_t span_of(const char *text)
+/* Returns the duration, or -1 if the text is none. */
+static pimento_usec_t parse_duration(const char *text)
 {
 	char *end;
 	long number;
@@ -230,54 +231,55 @@
 		return -1;
 	number = strtol(text, &end, 10);
 	end += strspn(end, " ");
-	for (size_t i = 0; i < sizeof(units) / sizeof(units[0]); i++)
-		if (!strcmp(end, units[i].unit))
-			return number * units[i].usec;
+	for (size_t i = 0;
+	     i < sizeof(duration_units) / sizeof(duration_units[0]); i++)
+		if (!strcmp(end, duration_units[i].unit))
+			return number * duration_units[i].usec;
 	return -1;
 }
 
 /* min and max are in milliseconds. */
-static const char *read_span(const field_t *field, const toml_node_t *node,
-			     pimento_usec_t *to, char *reason, size_t size)
+static const char *read_duration(const field_t *field, const toml_node_t *node,
+				 pimento_usec_t *to, char *reason, size_t size)
 {
 	size_t length;
-	const char *text = plain_string(node, &length);
-	pimento_usec_t span = text ? span_of(text) : -1;
+	const char *text = printable_string(node, &length);
+	pimento_usec_t duration = text ? parse_duration(text) : -1;
 
-	if (span < 0)
+	if (duration < 0)
 		return "must be a span of time, such as \"500ms\", \"20s\", "
 		       "\"5min\", \"2h\" or \"1d\"";
-	if (span < field->min * PIMENTO_MSEC ||
-	    span > field->max * PIMENTO_MSEC) {
+	if (duration < field->min * PIMENTO_MSEC ||
+	    duration > field->max * PIMENTO_MSEC) {
 		snprintf(reason, size, "must lie between %lldms and %llds",
 			 (long long)field->min, (long long)field->max / 1000);
 		return reason;
 	}
-	*to = span;
+	*to = duration;
 	return NULL;
 }
 
-static const char *read_word(const field_t *field, const toml_node_t *node,
-			     int *to, char *reason, size_t size)
+static const char *read_choice(const field_t *field, const toml_node_t *node,
+			       int *to, char *reason, size_t size)
 {
 	size_t length;
-	const char *text = plain_string(node, &length);
+	const char *text = printable_string(node, &length);
 	int used = snprintf(reason, size, "must be one of");
 
-	for (int i = 0; field->words[i]; i++) {
-		if (text && !strcmp(text, field->words[i])) {
+	for (int i = 0; field->choices[i]; i++) {
+		if (text && !strcmp(text, field->choices[i])) {
 			*to = i;
 			return NULL;
 		}
 		if (used > 0 && (size_t)used < size)
 			used += snprintf(reason + used, size - (size_t)used,
 					 "%s \"%s\"", i ? "," : "",
-					 field->words[i]);
+					 field->choices[i]);
 	}
 	return reason;
 }
 
-static bool all_of(const toml_node_t *array, toml_type_t type)
+static bool is_array_of(const toml_node_t *array, toml_type_t type)
 {
 	if (toml_type(array) != TOML_TYPE_ARRAY)
 		return false;
@@ -301,21 +303,21 @@
 		return read_hex32(node, to);
 	case FIELD_BOOL:
 		return read_bool(node, to);
-	case FIELD_FRACTION:
-		return read_fraction(field, node, to, reason, size);
-	case FIELD_SPAN:
-		return read_span(field, node, to, reason, size);
-	case FIELD_WORD:
-		return read_word(field, node, to, reason, size);
+	case FIELD_DOUBLE:
+		return read_double(field, node, to, reason, size);
+	case FIELD_DURATION:
+		return read_duration(field, node, to, reason, size);
+	case FIELD_CHOICE:
+		return read_choice(field, node, to, reason, size);
 	case FIELD_TABLE:
 		return toml_type(node) == TOML_TYPE_TABLE ? NULL
 							  : "must be a table";
-	case FIELD_TABLES:
-		return all_of(node, TOML_TYPE_TABLE)
+	case FIELD_TABLE_ARRAY:
+		return is_array_of(node, TOML_TYPE_TABLE)
 			       ? NULL
 			       : "must be a list of tables, written [[...]]";
-	case FIELD_STRINGS:
-		return all_of(node, TOML_TYPE_STRING)
+	case FIELD_STRING_ARRAY:
+		return is_array_of(node, TOML_TYPE_STRING)
 			       ? NULL
 			       : "must be a list of strings";
 	default:
@@ -323,7 +325,8 @@
 	}
 }
 
-static void join_path(char *to, size_t size, const char *path, const char *key)
+static void format_key_path(char *to, size_t size, const char *path,
+			    const char *key)
 {
 	snprintf(to, size, "%s%s%s", path, path[0] ? "." : "", key);
 }
@@ -335,15 +338,16 @@
 	size_t count;
 } key_check_t;
 
-static void check_key(void *context, const char *key, const toml_node_t *value)
+static void reject_unknown_key(void *context, const char *key,
+			       const toml_node_t *value)
 {
 	const key_check_t *check = context;
-	char path[PATH_BYTES];
+	char path[KEY_PATH_MAX_BYTES];
 
 	for (size_t i = 0; i < check->count; i++)
 		if (!strcmp(check->fields[i].key, key))
 			return;
-	join_path(path, sizeof(path), check->path, key);
+	format_key_path(path, sizeof(path), check->path, key);
 	problems_add(check->source->problems, check->source->file,
 		     toml_line(value), path, "unknown key");
 }
@@ -355,39 +359,40 @@
 	key_check_t check = { source, path, fields, count };
 	int table_line = path[0] ? toml_line(table) : 0;
 
-	toml_each(table, check_key, &check);
+	toml_foreach(table, reject_unknown_key, &check);
 	for (size_t i = 0; i < count; i++) {
 		const field_t *field = &fields[i];
 		const toml_node_t *node = toml_get(table, field->key);
-		const char *wrong = NULL;
+		const char *problem = NULL;
 		char reason[160];
-		char key[PATH_BYTES];
+		char key[KEY_PATH_MAX_BYTES];
 
 		if (node)
-			wrong = read_field(field, node,
-					   (char *)base + field->offset, reason,
-					   sizeof(reason));
+			problem = read_field(field, node,
+					     (char *)base + field->offset,
+					     reason, sizeof(reason));
 		else if (field->required)
-			wrong = "is missing";
-		if (!wrong)
+			problem = "is missing";
+		if (!problem)
 			continue;
-		join_path(key, sizeof(key), path, field->key);
+		format_key_path(key, sizeof(key), path, field->key);
 		problems_add(source->problems, source->file,
 			     node ? toml_line(node) : table_line, key, "%s",
-			     wrong);
+			     problem);
 	}
 }
 
-static void list_path(char *to, size_t size, const char *list, uint32_t index)
+static void format_element_path(char *to, size_t size, const char *list,
+				uint32_t index)
 {
 	snprintf(to, size, "%s[%u]", list, index + 1);
 }
 
-static bool list_length_ok(const fields_source_t *source,
-			   const toml_node_t *node, const fields_list_t *list,
-			   size_t length)
+static bool check_list_length(const fields_source_t *source,
+			      const toml_node_t *node,
+			      const fields_list_t *list, size_t length)
 {
-	if (length < list->min && (!node || all_of(node, TOML_TYPE_TABLE)))
+	if (length < list->min && (!node || is_array_of(node, TOML_TYPE_TABLE)))
 		problems_add(source->problems, source->file, toml_line(node),
 			     list->key, "at least %u must be given", list->min);
 	if (length > list->max)
@@ -402,58 +407,59 @@
 		     uint32_t *count)
 {
 	const toml_node_t *node = toml_get(root, list->key);
-	size_t length = all_of(node, TOML_TYPE_TABLE) ? toml_count(node) : 0;
-	char path[PATH_BYTES];
+	size_t length =
+		is_array_of(node, TOML_TYPE_TABLE) ? toml_count(node) : 0;
+	char path[KEY_PATH_MAX_BYTES];
 	char *element;
 
 	*elements = NULL;
 	*count = 0;
-	if (!list_length_ok(source, node, list, length) || !length)
+	if (!check_list_length(source, node, list, length) || !length)
 		return PIMENTO_OK;
-	element = calloc(length, list->size);
+	element = calloc(length, list->element_size);
 	if (!element)
 		return PIMENTO_ENOMEM;
 	*elements = element;
 	*count = (uint32_t)length;
 	for (uint32_t i = 0; i < length; i++) {
-		memcpy(element, list->defaults, list->size);
-		list_path(path, sizeof(path), list->key, i);
+		memcpy(element, list->defaults, list->element_size);
+		format_element_path(path, sizeof(path), list->key, i);
 		fields_read(source, toml_at(node, i), path, list->fields,
 			    list->field_count, element);
-		element += list->size;
+		element += list->element_size;
 	}
 	return PIMENTO_OK;
 }
 
-void fields_problem(const fields_source_t *source, const toml_node_t *root,
-		    const char *list, uint32_t index, const char *key,
-		    const char *format, ...)
+void fields_add_problem(const fields_source_t *source, const toml_node_t *root,
+			const char *list, uint32_t index, const char *key,
+			const char *format, ...)
 {
 	const toml_node_t *table = toml_at(toml_get(root, list), index);
 	const toml_node_t *node = toml_get(table, key);
-	char element[PATH_BYTES / 2];
-	char path[PATH_BYTES];
+	char element[KEY_PATH_MAX_BYTES / 2];
+	char path[KEY_PATH_MAX_BYTES];
 	char reason[200];
 	va_list args;
 
 	va_start(args, format);
 	vsnprintf(reason, sizeof(reason), format, args);
 	va_end(args);
-	list_path(element, sizeof(element), list, index);
-	join_path(path, sizeof(path), element, key);
+	format_element_path(element, sizeof(element), list, index);
+	format_key_path(path, sizeof(path), element, key);
 	problems_add(source->problems, source->file,
 		     toml_line(node ? node : table), path, "%s", reason);
 }
 
-typedef struct sorted_text {
+typedef struct indexed_text {
 	const char *text;
 	uint32_t index;
-} sorted_text_t;
+} indexed_text_t;
 
-static int compare_sorted(const void *left, const void *right)
+static int compare_indexed_texts(const void *left, const void *right)
 {
-	const sorted_text_t *a = left;
-	const sorted_text_t *b = right;
+	const indexed_text_t *a = left;
+	const indexed_text_t *b = right;
 	int order = strcmp(a->text, b->text);
 
 	if (order)
@@ -461,26 +467,26 @@
 	return (a->index > b->index) - (a->index < b->index);
 }
 
-int fields_unique(const fields_source_t *source, const toml_node_t *root,
-		  const fields_list_t *list, const void *elements,
-		  uint32_t count, const char *key, size_t offset)
+int fields_check_unique(const fields_source_t *source, const toml_node_t *root,
+			const fields_list_t *list, const void *elements,
+			uint32_t count, const char *key, size_t offset)
 {
-	sorted_text_t *sorted = calloc((size_t)count + 1, sizeof(*sorted));
+	indexed_text_t *sorted = calloc((size_t)count + 1, sizeof(*sorted));
 	const char *element = elements;
 
 	if (!sorted)
 		return PIMENTO_ENOMEM;
 	for (uint32_t i = 0; i < count; i++) {
-		sorted[i].text = element + i * list->size + offset;
+		sorted[i].text = element + i * list->element_size + offset;
 		sorted[i].index = i;
 	}
-	qsort(sorted, count, sizeof(*sorted), compare_sorted);
+	qsort(sorted, count, sizeof(*sorted), compare_indexed_texts);
 	for (uint32_t i = 1; i < count; i++) {
 		if (!sorted[i].text[0] ||
 		    strcmp(sorted[i].text, sorted[i - 1].text) != 0)
 			continue;
-		fields_problem(source, root, list->key, sorted[i].index, key,
-			       "\"%s\" stands twice", sorted[i].text);
+		fields_add_problem(source, root, list->key, sorted[i].index,
+				   key, "\"%s\" stands twice", sorted[i].text);
 	}
 	free(sorted);
 	return PIMENTO_OK;
--- a/src/fields.h
+++ b/src/fields.h
@@ -20,14 +20,14 @@
 	FIELD_U8, /* numbers lie in [min, max] */
 	FIELD_U16,
 	FIELD_U32,
-	FIELD_FRACTION, /* double */
+	FIELD_DOUBLE, /* double */
 	FIELD_MSEC, /* pimento_usec_t from milliseconds */
 	FIELD_SEC, /* pimento_usec_t from seconds */
-	FIELD_SPAN, /* pimento_usec_t from "20s", "5min", "2h", "1d" */
-	FIELD_WORD, /* int: index in words */
+	FIELD_DURATION, /* pimento_usec_t from "20s", "5min", "2h", "1d" */
+	FIELD_CHOICE, /* int: index in choices */
 	FIELD_TABLE, /* its type only is checked here */
-	FIELD_TABLES,
-	FIELD_STRINGS
+	FIELD_TABLE_ARRAY,
+	FIELD_STRING_ARRAY
 } field_kind_t;
 
 typedef struct field {
@@ -37,7 +37,7 @@
 	size_t offset;
 	int64_t min;
 	int64_t max;
-	const char *const *words; /* ends with NULL */
+	const char *const *choices; /* ends with NULL */
 } field_t;
 
 /* Where mistakes go, and what text they are in. */
@@ -56,7 +56,7 @@
 	const char *key;
 	const field_t *fields;
 	size_t field_count;
-	size_t size; /* of an element */
+	size_t element_size; /* of an element */
 	const void *defaults; /* an element */
 	uint32_t min;
 	uint32_t max;
@@ -71,26 +71,27 @@
 		     uint32_t *count);
 
 /* Reports a mistake at one key of an element of a list. */
-void fields_problem(const fields_source_t *source, const toml_node_t *root,
-		    const char *list, uint32_t index, const char *key,
-		    const char *format, ...)
+void fields_add_problem(const fields_source_t *source, const toml_node_t *root,
+			const char *list, uint32_t index, const char *key,
+			const char *format, ...)
 	__attribute__((format(printf, 6, 7)));
 
 /*
  * Reports each element whose text at offset equals that of an earlier one;
  * empty texts are passed over. Returns 0 or PIMENTO_ENOMEM.
  */
-int fields_unique(const fields_source_t *source, const toml_node_t *root,
-		  const fields_list_t *list, const void *elements,
-		  uint32_t count, const char *key, size_t offset);
+int fields_check_unique(const fields_source_t *source, const toml_node_t *root,
+			const fields_list_t *list, const void *elements,
+			uint32_t count, const char *key, size_t offset);
 
 /* Splits "127.0.0.1:80" or "[::1]:80". Returns 0 or PIMENTO_EPARSE. */
-int fields_address_port(const char *text, char address[64], uint16_t *port);
+int fields_parse_address_port(const char *text, char address[64],
+			      uint16_t *port);
 
 /* Whether the text is a name as FIELD_NAME wants it. */
 bool fields_is_name(const char *text);
 
 /* Turns 64 hexadecimal digits into 32 bytes. Returns 0 or PIMENTO_EPARSE. */
-int fields_hex32(const char *text, uint8_t bytes[32]);
+int fields_parse_hex32(const char *text, uint8_t bytes[32]);
 
 #endif
--- a/src/host.c
+++ b/src/host.c
@@ -216,7 +216,7 @@
 		const host_endpoint_t *old = &host->endpoints[i];
 
 		if (old->owner == host->self &&
-		    !pimento_config_endpoint(config, old->config->id))
+		    !pimento_config_find_endpoint(config, old->config->id))
 			owner_remove_endpoint(&host->owner, now,
 					      old->config->id);
 	}
@@ -719,7 +719,7 @@
 	uint32_t entries = 0;
 
 	for (uint32_t i = 0; i < host->hosts.count; i++)
-		entries += !host->hosts.hosts[i].endpoint;
+		entries += !host->hosts.hosts[i].is_endpoint;
 	return set->count >= KEY_WITNESSES || entries < KEY_WITNESSES;
 }
 
--- a/src/hostlist.c
+++ b/src/hostlist.c
@@ -87,7 +87,7 @@
 	if (!copy_port(host, to))
 		add_host_problem(problems, index, "port",
 				 "must lie between 1 and 65535");
-	if (!copy_choice(host, "role", "entry", "endpoint", &to->endpoint))
+	if (!copy_choice(host, "role", "entry", "endpoint", &to->is_endpoint))
 		add_host_problem(problems, index, "role",
 				 "must be \"entry\" or \"endpoint\"");
 	if (!copy_choice(host, "state", "live", "leaving", &to->leaving))
@@ -165,7 +165,7 @@
 	int error;
 
 	memset(list, 0, sizeof(*list));
-	if (length > CONFIG_TEXT_MAX)
+	if (length > CONFIG_MAX_BYTES)
 		return PIMENTO_ETOOBIG;
 	root = json_loadb(text, length, JSON_REJECT_DUPLICATES, &parse_error);
 	if (!root) {
--- a/src/idem_key.c
+++ b/src/idem_key.c
@@ -169,7 +169,7 @@
 	for (uint32_t i = 0; i < list->count && count < max; i++) {
 		const hostlist_host_t *host = &list->hosts[i];
 
-		if (!host->endpoint && !host->leaving)
+		if (!host->is_endpoint && !host->leaving)
 			hosts[count++] = host->id;
 	}
 	qsort(hosts, count, sizeof(*hosts), compare_ids);
--- a/src/membership.c
+++ b/src/membership.c
@@ -199,7 +199,7 @@
 
 	if (member)
 		return member;
-	*error = member_add(m, entry->id, entry->endpoint, &member);
+	*error = member_add(m, entry->id, entry->is_endpoint, &member);
 	return *error ? NULL : member;
 }
 
--- a/src/problems.c
+++ b/src/problems.c
@@ -12,13 +12,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PROBLEMS_KEPT 200
+#define PROBLEMS_MAX_LINES 200
 #define LINE_MAX_BYTES 512
 
 void problems_init(problems_t *problems)
 {
 	memset(problems, 0, sizeof(*problems));
-	problems->limit = PROBLEMS_KEPT;
+	problems->max_lines = PROBLEMS_MAX_LINES;
 }
 
 void problems_finish(problems_t *problems)
@@ -27,7 +27,7 @@
 	memset(problems, 0, sizeof(*problems));
 }
 
-static void append(problems_t *problems, const char *line)
+static void append_line(problems_t *problems, const char *line)
 {
 	size_t used = problems->text ? strlen(problems->text) : 0;
 	size_t size = used + strlen(line) + 2;
@@ -54,19 +54,19 @@
 {
 	char text[LINE_MAX_BYTES];
 	char reason[LINE_MAX_BYTES / 2];
-	char where[16] = "";
+	char line_text[16] = "";
 	va_list args;
 
 	problems->count++;
-	if (problems->count > problems->limit)
+	if (problems->count > problems->max_lines)
 		return;
 	va_start(args, format);
 	vsnprintf(reason, sizeof(reason), format, args);
 	va_end(args);
 	if (line > 0)
-		snprintf(where, sizeof(where), "%d:", line);
-	snprintf(text, sizeof(text), "%.96s:%s %.96s: %s", file, where, key,
+		snprintf(line_text, sizeof(line_text), "%d:", line);
+	snprintf(text, sizeof(text), "%.96s:%s %.96s: %s", file, line_text, key,
 		 reason);
 	make_printable(text);
-	append(problems, text);
+	append_line(problems, text);
 }
--- a/src/template.c
+++ b/src/questionnaire_template.c
@@ -4,7 +4,7 @@
  * checks.
  */
 
-#include "answers.h"
+#include "questionnaire.h"
 
 static const char template_text[] =
 	"# Questionnaire of a new team. Fill it in, then run\n"
@@ -123,7 +123,7 @@
 	"checks_fencing = false\n"
 	"at_once = 16\n";
 
-const char *answers_template(void)
+const char *questionnaire_template(void)
 {
 	return template_text;
 }
--- a/src/settings.c
+++ b/src/settings.c
@@ -10,20 +10,20 @@
 #include <string.h>
 
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
-#define AT(member) offsetof(settings_t, member)
+#define OFFSET(member) offsetof(settings_t, member)
 
 #define CONNECTIONS_DEFAULT 1024
 #define CONNECTIONS_MAX 65536
 #define STOP_DEFAULT_SECONDS 900
 #define STOP_MAX_SECONDS 86400
 
-static const char *const levels[] = { "error", "warning", "info", "debug",
-				      NULL };
-static const int level_numbers[] = { 3, 4, 6, 7 };
-#define LEVEL_INFO 2
+static const char *const level_names[] = { "error", "warning", "info", "debug",
+					   NULL };
+static const int syslog_levels[] = { 3, 4, 6, 7 };
+#define LEVEL_INFO_INDEX 2
 
-static const field_t top_fields[] = {
-	{ "deployment", FIELD_NAME, true, AT(deployment), 0, 0, NULL },
+static const field_t toplevel_fields[] = {
+	{ "deployment", FIELD_NAME, true, OFFSET(deployment), 0, 0, NULL },
 	{ "host", FIELD_TABLE, true, 0, 0, 0, NULL },
 	{ "platform", FIELD_TABLE, true, 0, 0, 0, NULL },
 	{ "peers", FIELD_TABLE, false, 0, 0, 0, NULL },
@@ -33,34 +33,35 @@
 };
 
 static const field_t host_fields[] = {
-	{ "name", FIELD_NAME, true, AT(name), 0, 0, NULL },
-	{ "datacentre", FIELD_NAME, true, AT(datacentre), 0, 0, NULL },
-	{ "address", FIELD_ADDRESS, true, AT(address), 0, 0, NULL },
-	{ "http_port", FIELD_U16, true, AT(http_port), 1, 65535, NULL },
-	{ "peer_port", FIELD_U16, true, AT(peer_port), 1, 65535, NULL },
+	{ "name", FIELD_NAME, true, OFFSET(name), 0, 0, NULL },
+	{ "datacentre", FIELD_NAME, true, OFFSET(datacentre), 0, 0, NULL },
+	{ "address", FIELD_ADDRESS, true, OFFSET(address), 0, 0, NULL },
+	{ "http_port", FIELD_U16, true, OFFSET(http_port), 1, 65535, NULL },
+	{ "peer_port", FIELD_U16, true, OFFSET(peer_port), 1, 65535, NULL },
 };
 
 static const field_t platform_fields[] = {
-	{ "address", FIELD_ADDRESS, true, AT(platform_address), 0, 0, NULL },
-	{ "port", FIELD_U16, true, AT(platform_port), 1, 65535, NULL },
+	{ "address", FIELD_ADDRESS, true, OFFSET(platform_address), 0, 0,
+	  NULL },
+	{ "port", FIELD_U16, true, OFFSET(platform_port), 1, 65535, NULL },
 };
 
 static const field_t peers_fields[] = {
-	{ "seeds", FIELD_STRINGS, false, 0, 0, 0, NULL },
+	{ "seeds", FIELD_STRING_ARRAY, false, 0, 0, 0, NULL },
 };
 
 static const field_t keys_fields[] = {
-	{ "secret", FIELD_HEX32, true, AT(secret), 0, 0, NULL },
+	{ "secret", FIELD_HEX32, true, OFFSET(secret), 0, 0, NULL },
 };
 
 static const field_t log_fields[] = {
-	{ "level", FIELD_WORD, false, AT(log_level), 0, 0, levels },
+	{ "level", FIELD_CHOICE, false, OFFSET(log_level), 0, 0, level_names },
 };
 
 static const field_t limits_fields[] = {
-	{ "connections", FIELD_U32, false, AT(connections), 1, CONNECTIONS_MAX,
-	  NULL },
-	{ "stop_seconds", FIELD_U32, false, AT(stop_seconds), 1,
+	{ "connections", FIELD_U32, false, OFFSET(connections), 1,
+	  CONNECTIONS_MAX, NULL },
+	{ "stop_seconds", FIELD_U32, false, OFFSET(stop_seconds), 1,
 	  STOP_MAX_SECONDS, NULL },
 };
 
@@ -91,11 +92,11 @@
 		return;
 	}
 	for (size_t i = 0; i < toml_count(seeds); i++) {
-		settings_peer_t *peer = &settings->seeds[settings->seed_count];
+		settings_seed_t *peer = &settings->seeds[settings->seed_count];
 
 		if (!toml_string(toml_at(seeds, i), &text, &length))
 			continue;
-		if (fields_address_port(text, peer->address, &peer->port))
+		if (fields_parse_address_port(text, peer->address, &peer->port))
 			problems_add(source->problems, source->file,
 				     toml_line(toml_at(seeds, i)),
 				     "peers.seeds",
@@ -110,7 +111,8 @@
 static void read_tables(const fields_source_t *source, const toml_node_t *root,
 			settings_t *settings)
 {
-	fields_read(source, root, "", top_fields, COUNT(top_fields), settings);
+	fields_read(source, root, "", toplevel_fields, COUNT(toplevel_fields),
+		    settings);
 	for (size_t i = 0; i < COUNT(tables); i++) {
 		const toml_node_t *table = toml_get(root, tables[i].key);
 
@@ -131,12 +133,12 @@
 	int error;
 
 	memset(settings, 0, sizeof(*settings));
-	settings->log_level = LEVEL_INFO;
+	settings->log_level = LEVEL_INFO_INDEX;
 	settings->connections = CONNECTIONS_DEFAULT;
 	settings->stop_seconds = STOP_DEFAULT_SECONDS;
-	if (length > CONFIG_TEXT_MAX)
+	if (length > CONFIG_MAX_BYTES)
 		return PIMENTO_ETOOBIG;
-	error = toml_init(&document, text, length);
+	error = toml_parse(&document, text, length);
 	if (error == PIMENTO_EPARSE)
 		problems_add(problems, file, document.error_line, "syntax",
 			     "%s", document.error);
@@ -144,7 +146,7 @@
 		return error;
 	read_tables(&source, document.root, settings);
 	toml_finish(&document);
-	settings->log_level = level_numbers[settings->log_level];
+	settings->log_level = syslog_levels[settings->log_level];
 	if (problems->count == before)
 		return PIMENTO_OK;
 	memset(settings, 0, sizeof(*settings));
--- a/src/settings.h
+++ b/src/settings.h
@@ -18,10 +18,10 @@
 
 #define SETTINGS_SEEDS_MAX 16
 
-typedef struct settings_peer {
+typedef struct settings_seed {
 	char address[64];
 	uint16_t port;
-} settings_peer_t;
+} settings_seed_t;
 
 typedef struct settings {
 	char deployment[PIMENTO_NAME_MAX];
@@ -33,7 +33,7 @@
 	char platform_address[64];
 	uint16_t platform_port;
 	uint32_t seed_count;
-	settings_peer_t seeds[SETTINGS_SEEDS_MAX];
+	settings_seed_t seeds[SETTINGS_SEEDS_MAX];
 	uint8_t secret[32];
 	int log_level; /* syslog's numbers: 3 error, 4 warning, 6 info, 7 debug */
 	uint32_t connections; /* callers served at once, default 1024 */
--- a/src/sse.c
+++ b/src/sse.c
@@ -8,12 +8,12 @@
 void sse_init(sse_t *sse)
 {
 	*sse = (sse_t){ 0 };
-	text_init(&sse->partial);
+	strbuf_init(&sse->partial);
 }
 
 void sse_finish(sse_t *sse)
 {
-	text_finish(&sse->partial);
+	strbuf_finish(&sse->partial);
 }
 
 static void parse_id(sse_t *sse, const char *line, size_t length)
@@ -84,8 +84,8 @@
 
 	if (!length)
 		return 0;
-	text_add_bytes(&sse->partial, bytes, length);
-	if (text_error(&sse->partial))
+	strbuf_add(&sse->partial, bytes, length);
+	if (strbuf_error(&sse->partial))
 		return PIMENTO_ENOMEM;
 	while ((event = event_length(sse->partial.bytes + complete,
 				     sse->partial.length - complete))) {
@@ -99,7 +99,7 @@
 
 void sse_consume(sse_t *sse, size_t complete)
 {
-	text_t *partial = &sse->partial;
+	strbuf_t *partial = &sse->partial;
 
 	if (!complete)
 		return;
--- a/src/sse.h
+++ b/src/sse.h
@@ -7,12 +7,12 @@
  * event can then go on elsewhere right behind it.
  */
 
-#include "text.h"
+#include "strbuf.h"
 
 #define SSE_ID_MAX 64
 
 typedef struct sse {
-	text_t partial; /* bytes of an event that has not ended */
+	strbuf_t partial; /* bytes of an event that has not ended */
 	uint32_t count; /* complete events so far */
 	char last_id[SSE_ID_MAX]; /* "" before the first event with an id */
 } sse_t;
--- a/src/toml.cc
+++ b/src/toml.cc
@@ -50,14 +50,14 @@
 #include <new>
 #include <string_view>
 
-static const int dots_max = 128;
+static const int max_dots_per_line = 128;
 
-static const toml::node *node_of(const toml_node_t *node)
+static const toml::node *to_cpp_node(const toml_node_t *node)
 {
 	return reinterpret_cast<const toml::node *>(node);
 }
 
-static const toml_node_t *handle_of(const toml::node *node)
+static const toml_node_t *to_c_node(const toml::node *node)
 {
 	return reinterpret_cast<const toml_node_t *>(node);
 }
@@ -70,7 +70,8 @@
 		 static_cast<int>(reason.size()), reason.data());
 }
 
-static bool dots_bounded(toml_document_t *document, std::string_view text)
+static bool check_dots_per_line(toml_document_t *document,
+				std::string_view text)
 {
 	int line = 1;
 	int dots = 0;
@@ -79,7 +80,7 @@
 		if (c == '\n') {
 			line++;
 			dots = 0;
-		} else if (c == '.' && ++dots > dots_max) {
+		} else if (c == '.' && ++dots > max_dots_per_line) {
 			set_error(document, line, "more than 128 dots in line");
 			return false;
 		}
@@ -108,11 +109,11 @@
 	}
 }
 
-extern "C" int toml_init(toml_document_t *document, const char *text,
-			 size_t length)
+extern "C" int toml_parse(toml_document_t *document, const char *text,
+			  size_t length)
 {
 	*document = toml_document_t{};
-	if (!dots_bounded(document, std::string_view(text, length)))
+	if (!check_dots_per_line(document, std::string_view(text, length)))
 		return PIMENTO_EPARSE;
 	return parse(document, std::string_view(text, length));
 }
@@ -127,7 +128,7 @@
 {
 	if (!node)
 		return TOML_TYPE_NONE;
-	switch (node_of(node)->type()) {
+	switch (to_cpp_node(node)->type()) {
 	case toml::node_type::string:
 		return TOML_TYPE_STRING;
 	case toml::node_type::integer:
@@ -149,13 +150,14 @@
 
 extern "C" int toml_line(const toml_node_t *node)
 {
-	return node ? static_cast<int>(node_of(node)->source().begin.line) : 0;
+	return node ? static_cast<int>(to_cpp_node(node)->source().begin.line)
+		    : 0;
 }
 
 extern "C" bool toml_string(const toml_node_t *node, const char **text,
 			    size_t *length)
 {
-	const auto *value = node ? node_of(node)->as_string() : nullptr;
+	const auto *value = node ? to_cpp_node(node)->as_string() : nullptr;
 
 	if (!value)
 		return false;
@@ -166,7 +168,7 @@
 
 extern "C" bool toml_integer(const toml_node_t *node, int64_t *number)
 {
-	const auto *value = node ? node_of(node)->as_integer() : nullptr;
+	const auto *value = node ? to_cpp_node(node)->as_integer() : nullptr;
 
 	if (!value)
 		return false;
@@ -174,21 +176,22 @@
 	return true;
 }
 
-extern "C" bool toml_boolean(const toml_node_t *node, bool *truth)
+extern "C" bool toml_boolean(const toml_node_t *node, bool *flag)
 {
-	const auto *value = node ? node_of(node)->as_boolean() : nullptr;
+	const auto *value = node ? to_cpp_node(node)->as_boolean() : nullptr;
 
 	if (!value)
 		return false;
-	*truth = value->get();
+	*flag = value->get();
 	return true;
 }
 
-extern "C" bool toml_fraction(const toml_node_t *node, double *number)
+extern "C" bool toml_number(const toml_node_t *node, double *number)
 {
-	const auto value = node ? node_of(node)->value<double>() : std::nullopt;
+	const auto value =
+		node ? to_cpp_node(node)->value<double>() : std::nullopt;
 
-	if (!value || !node_of(node)->is_number())
+	if (!value || !to_cpp_node(node)->is_number())
 		return false;
 	*number = *value;
 	return true;
@@ -196,34 +199,34 @@
 
 extern "C" size_t toml_count(const toml_node_t *array)
 {
-	const auto *value = array ? node_of(array)->as_array() : nullptr;
+	const auto *value = array ? to_cpp_node(array)->as_array() : nullptr;
 
 	return value ? value->size() : 0;
 }
 
 extern "C" const toml_node_t *toml_at(const toml_node_t *array, size_t index)
 {
-	const auto *value = array ? node_of(array)->as_array() : nullptr;
+	const auto *value = array ? to_cpp_node(array)->as_array() : nullptr;
 
-	return value ? handle_of(value->get(index)) : nullptr;
+	return value ? to_c_node(value->get(index)) : nullptr;
 }
 
 extern "C" const toml_node_t *toml_get(const toml_node_t *table,
 				       const char *key)
 {
-	const auto *value = table ? node_of(table)->as_table() : nullptr;
+	const auto *value = table ? to_cpp_node(table)->as_table() : nullptr;
 
-	return value ? handle_of(value->get(key)) : nullptr;
+	return value ? to_c_node(value->get(key)) : nullptr;
 }
 
-extern "C" void toml_each(const toml_node_t *table, toml_visit_t *visit,
-			  void *context)
+extern "C" void toml_foreach(const toml_node_t *table, toml_visit_t *visit,
+			     void *context)
 {
-	const auto *value = table ? node_of(table)->as_table() : nullptr;
+	const auto *value = table ? to_cpp_node(table)->as_table() : nullptr;
 
 	if (!value)
 		return;
 	for (const auto &entry : *value)
 		visit(context, entry.first.str().data(),
-		      handle_of(&entry.second));
+		      to_c_node(&entry.second));
 }
--- a/src/toml.h
+++ b/src/toml.h
@@ -40,7 +40,7 @@
  * with the reason in the document; PIMENTO_ENOMEM. After a failure there is
  * nothing to finish.
  */
-int toml_init(toml_document_t *document, const char *text, size_t length);
+int toml_parse(toml_document_t *document, const char *text, size_t length);
 void toml_finish(toml_document_t *document);
 
 /* Type, and line in the text (0 if unknown); node may be NULL. */
@@ -52,7 +52,7 @@
 bool toml_integer(const toml_node_t *node, int64_t *value);
 bool toml_boolean(const toml_node_t *node, bool *value);
 /* A whole number or a fraction. */
-bool toml_fraction(const toml_node_t *node, double *value);
+bool toml_number(const toml_node_t *node, double *value);
 
 /* Elements of an array; 0 and NULL for other types. */
 size_t toml_count(const toml_node_t *array);
@@ -64,7 +64,7 @@
 /* Calls visit for each key of a table, in the order of the keys' bytes. */
 typedef void toml_visit_t(void *context, const char *key,
 			  const toml_node_t *value);
-void toml_each(const toml_node_t *table, toml_visit_t *visit, void *context);
+void toml_foreach(const toml_node_t *table, toml_visit_t *visit, void *context);
 
 #ifdef __cplusplus
 }
--- a/standin/store.c
+++ b/standin/store.c
@@ -222,10 +222,10 @@
 			conn->body.length, sodium_base64_VARIANT_ORIGINAL);
 
 		record->base64 = malloc(size);
-		sodium_bin2base64(record->base64, size,
-				  (const unsigned char *)text_get(&conn->body),
-				  conn->body.length,
-				  sodium_base64_VARIANT_ORIGINAL);
+		sodium_bin2base64(
+			record->base64, size,
+			(const unsigned char *)strbuf_str(&conn->body),
+			conn->body.length, sodium_base64_VARIANT_ORIGINAL);
 	}
 	record->revision = ++revision;
 	qsort(records, record_count, sizeof(records[0]), by_key);
--- a/standin/worker.c
+++ b/standin/worker.c
@@ -55,15 +55,15 @@
 static run_t runs[RUNS_MAX];
 static json_int_t run_count;
 static json_int_t arrivals;
-static text_t last;
+static strbuf_t last;
 
 static void keep_head(const httpd_conn_t *conn)
 {
 	last.length = 0;
-	text_add(&last, "%s\n", conn->target.bytes);
+	strbuf_addf(&last, "%s\n", conn->target.bytes);
 	for (uint32_t i = 0; i < conn->head.count; i++)
-		text_add(&last, "%s: %s\n", head_name(&conn->head, i),
-			 head_value(&conn->head, i));
+		strbuf_addf(&last, "%s: %s\n", head_name(&conn->head, i),
+			    head_value(&conn->head, i));
 }
 
 static bool behaves(const httpd_conn_t *conn, const char *word)
@@ -85,16 +85,16 @@
 }
 
 /* The head of an answer; sealed as a worker's. */
-static void add_fields(const httpd_conn_t *conn, text_t *fields)
+static void add_fields(const httpd_conn_t *conn, strbuf_t *fields)
 {
 	const char *id = head_get(&conn->head, "Request-Id");
 
 	if (behaves(conn, "foreign"))
 		id = "somebody-elses";
-	text_add(fields, "Request-Id: %s\r\n", id ? id : "-");
+	strbuf_addf(fields, "Request-Id: %s\r\n", id ? id : "-");
 	if (!behaves(conn, "unsealed"))
-		text_add(fields, "Response-Seal: %s.seal\r\n", own_id);
-	text_add(fields, "X-Worker: %s\r\n", own_id);
+		strbuf_addf(fields, "Response-Seal: %s.seal\r\n", own_id);
+	strbuf_addf(fields, "X-Worker: %s\r\n", own_id);
 }
 
 static void raw(httpd_conn_t *conn, const char *text, size_t length)
@@ -105,22 +105,23 @@
 static void answer_plainly(httpd_conn_t *conn)
 {
 	char body[128];
-	text_t fields;
+	strbuf_t fields;
 
 	snprintf(body, sizeof(body), "answer of %s to %zu bytes", own_id,
 		 conn->body.length);
-	text_init(&fields);
+	strbuf_init(&fields);
 	add_fields(conn, &fields);
 	if (behaves(conn, "torn") || behaves(conn, "bare")) {
-		text_t whole;
+		strbuf_t whole;
 
-		text_init(&whole);
-		text_add(&whole, "HTTP/1.1 200 OK\r\n%s", text_get(&fields));
+		strbuf_init(&whole);
+		strbuf_addf(&whole, "HTTP/1.1 200 OK\r\n%s",
+			    strbuf_str(&fields));
 		if (behaves(conn, "torn"))
-			text_add(&whole, "Content-Length: 1000\r\n");
-		text_add(&whole, "\r\n%s", body);
+			strbuf_addf(&whole, "Content-Length: 1000\r\n");
+		strbuf_addf(&whole, "\r\n%s", body);
 		raw(conn, whole.bytes, whole.length);
-		text_finish(&whole);
+		strbuf_finish(&whole);
 		if (behaves(conn, "bare"))
 			shutdown(conn->fd, SHUT_WR);
 		else
@@ -131,25 +132,25 @@
 						     : 200;
 
 		if (behaves(conn, "extra")) {
-			text_t again;
+			strbuf_t again;
 
-			text_init(&again);
-			text_add(&again,
-				 "HTTP/1.1 200 OK\r\n%sContent-Length: "
-				 "%zu\r\n\r\n%s",
-				 text_get(&fields), strlen(body), body);
+			strbuf_init(&again);
+			strbuf_addf(&again,
+				    "HTTP/1.1 200 OK\r\n%sContent-Length: "
+				    "%zu\r\n\r\n%s",
+				    strbuf_str(&fields), strlen(body), body);
 			raw(conn, again.bytes, again.length);
-			text_finish(&again);
+			strbuf_finish(&again);
 		}
-		httpd_answer(conn, status, text_get(&fields), body,
+		httpd_answer(conn, status, strbuf_str(&fields), body,
 			     strlen(body));
 	}
-	text_finish(&fields);
+	strbuf_finish(&fields);
 }
 
 static void begin_stream(httpd_conn_t *conn)
 {
-	text_t fields;
+	strbuf_t fields;
 
 	for (int i = 0; i < RUNS_MAX; i++) {
 		const char *after = head_get(&conn->head, "Last-Event-Id");
@@ -169,11 +170,11 @@
 			runs[i].due += MUTE_MS * PIMENTO_MSEC;
 		break;
 	}
-	text_init(&fields);
+	strbuf_init(&fields);
 	add_fields(conn, &fields);
-	text_add(&fields, "Content-Type: text/event-stream\r\n");
-	httpd_begin(conn, 200, text_get(&fields), HTTPD_CHUNKED);
-	text_finish(&fields);
+	strbuf_addf(&fields, "Content-Type: text/event-stream\r\n");
+	httpd_begin(conn, 200, strbuf_str(&fields), HTTPD_CHUNKED);
+	strbuf_finish(&fields);
 }
 
 static void end_run(run_t *run)
@@ -221,7 +222,7 @@
 	for (int i = 0; i < RUNS_MAX; i++)
 		open += runs[i].conn != NULL;
 	root = json_pack("{s:I, s:I, s:I, s:s}", "runs", run_count, "here",
-			 arrivals, "open", open, "last", text_get(&last));
+			 arrivals, "open", open, "last", strbuf_str(&last));
 	text = json_dumps(root, JSON_COMPACT);
 	httpd_answer(conn, 200, "", text, strlen(text));
 	free(text);
@@ -329,7 +330,7 @@
 	own_id = argv[2];
 	address.ip = 0x7f000001; /* 127.0.0.1 */
 	address.port = (uint16_t)strtoul(argv[1], NULL, 10);
-	text_init(&last);
+	strbuf_init(&last);
 	signal(SIGPIPE, SIG_IGN);
 	if (httpd_init(&server, loop, &address, &ops, &limits))
 		return EXIT_FAILURE;
--- a/test/fleet.c
+++ b/test/fleet.c
@@ -23,12 +23,12 @@
 typedef struct text {
 	char bytes[TEXT_MAX];
 	size_t length;
-} text_t;
+} strbuf_t;
 
-static void add(text_t *text, const char *format, ...)
+static void add(strbuf_t *text, const char *format, ...)
 	__attribute__((format(printf, 2, 3)));
 
-static void add(text_t *text, const char *format, ...)
+static void add(strbuf_t *text, const char *format, ...)
 {
 	va_list args;
 	int length;
@@ -74,7 +74,7 @@
 	"target = \"service:orders\"\ntier = \"parent\"\n"
 	"repeatable = true\nmethod = \"GET\"\n";
 
-static void add_account(text_t *text, const char *name, const char *key)
+static void add_account(strbuf_t *text, const char *name, const char *key)
 {
 	unsigned char hash[KEY_HASH_SIZE];
 	char hex[2 * KEY_HASH_SIZE + 1];
@@ -91,7 +91,7 @@
 	return value ? value : otherwise;
 }
 
-static void add_engine(text_t *text, const fleet_t *fleet, int i)
+static void add_engine(strbuf_t *text, const fleet_t *fleet, int i)
 {
 	const fleet_engine_t *engine = &fleet->options.engine[i];
 
@@ -104,7 +104,7 @@
 	    or_default(engine->concurrency, or_default(engine->batch, 8)));
 }
 
-static void build_config(text_t *text, const fleet_t *fleet, const char *more)
+static void build_config(strbuf_t *text, const fleet_t *fleet, const char *more)
 {
 	text->length = 0;
 	add(text, "%s", head);
@@ -138,7 +138,7 @@
 	return fleet->relay[host].port;
 }
 
-static void build_hosts(text_t *text, const fleet_t *fleet, int half)
+static void build_hosts(strbuf_t *text, const fleet_t *fleet, int half)
 {
 	const char *comma = "";
 
@@ -179,7 +179,7 @@
 
 uint64_t fleet_publish_hosts(fleet_t *fleet)
 {
-	static text_t text;
+	static strbuf_t text;
 	uint64_t revision = 0;
 
 	for (int i = 0; i < fleet->platforms; i++) {
@@ -194,7 +194,7 @@
 
 uint64_t fleet_publish_config(fleet_t *fleet, const char *more)
 {
-	static text_t text;
+	static strbuf_t text;
 	uint64_t revision = 0;
 
 	build_config(&text, fleet, more);
@@ -303,7 +303,7 @@
 	return fleet_publish_hosts(fleet) ? 0 : -1;
 }
 
-static void build_settings(text_t *text, const fleet_t *fleet, int host)
+static void build_settings(strbuf_t *text, const fleet_t *fleet, int host)
 {
 	int half = half_of(fleet, host);
 	const char *comma = "";
@@ -333,7 +333,7 @@
 
 static int launch_host(fleet_t *fleet, int host)
 {
-	static text_t text;
+	static strbuf_t text;
 	char name[PROCESS_NAME_MAX];
 	char file[PROCESS_NAME_MAX + 8];
 	char path[PROCESS_PATH_MAX];
--- a/test/fuzz_config.c
+++ b/test/fuzz_config.c
@@ -10,8 +10,8 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-static void parse(uint8_t which, const char *text, size_t length,
-		  problems_t *problems)
+static void run_parser(uint8_t which, const char *text, size_t length,
+		       problems_t *problems)
 {
 	pimento_config_t config;
 	settings_t settings;
@@ -41,7 +41,7 @@
 	if (!size)
 		return 0;
 	problems_init(&problems);
-	parse(data[0], (const char *)data + 1, size - 1, &problems);
+	run_parser(data[0], (const char *)data + 1, size - 1, &problems);
 	problems_finish(&problems);
 	return 0;
 }
--- a/test/test_burn.c
+++ b/test/test_burn.c
@@ -24,7 +24,7 @@
 	{ 1000, 87700, 86400, 0 }, { 1000, 900000, 86400, 0 },
 };
 
-START_TEST(windows_forget)
+START_TEST(window_drops_expired_counts)
 {
 	burn_t burn;
 	burn_count_t count;
@@ -32,17 +32,17 @@
 	ck_assert_int_eq(burn_init(&burn), 0);
 	for (int i = 0; i < 10; i++)
 		burn_add(&burn, "t", i > 0, windows[_i].added_s * PIMENTO_SEC);
-	count = burn_window(&burn, "t", windows[_i].seconds,
-			    windows[_i].now_s * PIMENTO_SEC);
+	count = burn_window_count(&burn, "t", windows[_i].seconds,
+				  windows[_i].now_s * PIMENTO_SEC);
 	ck_assert_uint_eq(count.total, windows[_i].total);
 	ck_assert_uint_eq(count.good, windows[_i].total * 9 / 10);
-	count = burn_window(&burn, "other", 300, 0);
+	count = burn_window_count(&burn, "other", 300, 0);
 	ck_assert_uint_eq(count.total, 0);
 	burn_finish(&burn);
 }
 END_TEST
 
-START_TEST(names_are_bounded)
+START_TEST(least_recently_used_tier_is_evicted)
 {
 	char name[] = "tier-A";
 	burn_t burn;
@@ -54,9 +54,11 @@
 	}
 	ck_assert_uint_eq(burn.count, BURN_TIERS_MAX);
 	ck_assert_uint_eq(
-		burn_window(&burn, "tier-A", 300, 20 * PIMENTO_SEC).total, 0);
+		burn_window_count(&burn, "tier-A", 300, 20 * PIMENTO_SEC).total,
+		0);
 	ck_assert_uint_eq(
-		burn_window(&burn, "tier-D", 300, 20 * PIMENTO_SEC).total, 1);
+		burn_window_count(&burn, "tier-D", 300, 20 * PIMENTO_SEC).total,
+		1);
 	burn_finish(&burn);
 }
 END_TEST
@@ -66,7 +68,7 @@
 	uint64_t total;
 	double objective;
 	burn_state_t state;
-} judgements[] = {
+} state_cases[] = {
 	{ { 0, 0, 0, 0, 0 }, 1000, 0.999, BURN_OK },
 	{ { 15, 15, 15, 15, 15 }, 1000, 0.999, BURN_FAST },
 	{ { 15, 15, 15, 15, 15 }, 1000, 0.95, BURN_OK },
@@ -78,40 +80,41 @@
 	{ { 800, 800, 800, 800, 800 }, 1000, 0.95, BURN_FAST },
 };
 
-START_TEST(long_and_short_windows_are_judged)
+START_TEST(state_follows_long_and_short_windows)
 {
 	burn_report_t report;
 
 	memset(&report, 0, sizeof(report));
-	report.objective = judgements[_i].objective;
-	ck_assert_int_eq(burn_judge(&report), BURN_IDLE);
+	report.objective = state_cases[_i].objective;
+	ck_assert_int_eq(burn_evaluate(&report), BURN_IDLE);
 	for (int i = 0; i < BURN_WINDOWS; i++) {
-		report.windows[i].total = judgements[_i].total;
+		report.windows[i].total = state_cases[_i].total;
 		report.windows[i].good =
-			judgements[_i].total - judgements[_i].bad[i];
+			state_cases[_i].total - state_cases[_i].bad[i];
 	}
-	ck_assert_str_eq(burn_state_name(burn_judge(&report)),
-			 burn_state_name(judgements[_i].state));
+	ck_assert_str_eq(burn_state_name(burn_evaluate(&report)),
+			 burn_state_name(state_cases[_i].state));
 }
 END_TEST
 
 static const struct {
 	int error;
 	bool counts;
-} refusals[] = {
+} error_cases[] = {
 	{ PIMENTO_EDEADLINE, true },	{ PIMENTO_EBUSY, true },
 	{ PIMENTO_EENDPOINT, true },	{ PIMENTO_ENOQUORUM, true },
 	{ PIMENTO_EUNREACHABLE, true }, { PIMENTO_ECANCELLED, false },
 	{ PIMENTO_EMISMATCH, false },	{ PIMENTO_ENOTFOUND, false },
 };
 
-START_TEST(callers_faults_do_not_count)
+START_TEST(client_errors_do_not_use_error_budget)
 {
-	ck_assert_int_eq(burn_counts(refusals[_i].error), refusals[_i].counts);
+	ck_assert_int_eq(burn_error_counts(error_cases[_i].error),
+			 error_cases[_i].counts);
 }
 END_TEST
 
-START_TEST(objectives_fall_with_rank)
+START_TEST(objective_decreases_with_rank)
 {
 	burn_count_t count = { 998, 1000 };
 
@@ -126,7 +129,7 @@
 END_TEST
 
 /* Two hosts whose clocks differ by days; ages must still fall together. */
-START_TEST(hosts_merge_by_age)
+START_TEST(reports_merge_by_age_despite_clock_skew)
 {
 	const pimento_usec_t now[] = { 1000 * PIMENTO_SEC,
 				       500000 * PIMENTO_SEC };
@@ -162,11 +165,11 @@
 }
 END_TEST
 
-static const char *const rubbish[] = {
+static const char *const malformed[] = {
 	"", "[]", "{\"now_s\":1}", "{\"now_s\":\"x\",\"tiers\":[]}", "{",
 };
 
-START_TEST(rubbish_is_refused)
+START_TEST(malformed_report_is_rejected)
 {
 	static const char odd[] =
 		"{\"now_s\":1,\"tiers\":[3,{\"tier\":\"\"},{\"tier\":\"a\","
@@ -176,7 +179,7 @@
 
 	ck_assert_int_eq(burn_reports_init(&reports), 0);
 	ck_assert_int_eq(
-		burn_json_read(&reports, rubbish[_i], strlen(rubbish[_i])),
+		burn_json_read(&reports, malformed[_i], strlen(malformed[_i])),
 		PIMENTO_EPARSE);
 	ck_assert_int_eq(burn_json_read(&reports, odd, strlen(odd)), 0);
 	ck_assert_uint_eq(reports.count, 1);
@@ -192,15 +195,16 @@
 	SRunner *runner;
 	int failed;
 
-	tcase_add_loop_test(tc, windows_forget, 0, COUNT(windows));
-	tcase_add_test(tc, names_are_bounded);
-	tcase_add_loop_test(tc, long_and_short_windows_are_judged, 0,
-			    COUNT(judgements));
-	tcase_add_loop_test(tc, callers_faults_do_not_count, 0,
-			    COUNT(refusals));
-	tcase_add_test(tc, objectives_fall_with_rank);
-	tcase_add_test(tc, hosts_merge_by_age);
-	tcase_add_loop_test(tc, rubbish_is_refused, 0, COUNT(rubbish));
+	tcase_add_loop_test(tc, window_drops_expired_counts, 0, COUNT(windows));
+	tcase_add_test(tc, least_recently_used_tier_is_evicted);
+	tcase_add_loop_test(tc, state_follows_long_and_short_windows, 0,
+			    COUNT(state_cases));
+	tcase_add_loop_test(tc, client_errors_do_not_use_error_budget, 0,
+			    COUNT(error_cases));
+	tcase_add_test(tc, objective_decreases_with_rank);
+	tcase_add_test(tc, reports_merge_by_age_despite_clock_skew);
+	tcase_add_loop_test(tc, malformed_report_is_rejected, 0,
+			    COUNT(malformed));
 	suite_add_tcase(suite, tc);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_claim.c
+++ b/test/test_claim.c
@@ -474,7 +474,7 @@
 	ck_assert_uint_eq(set.count, 5);
 	ck_assert_uint_eq(set.quorum, 4);
 	hosts[0].leaving = true;
-	hosts[1].endpoint = true;
+	hosts[1].is_endpoint = true;
 	list.count = 4;
 	ck_assert_int_eq(idem_key_select_witnesses(uuid_cases[_i].text, key,
 						   &list, &set, &created_ms),
