--- a/test/test_config.c
+++ b/test/test_config.c
@@ -17,7 +17,7 @@
 #define HASH_B \
 	"0202020202020202020202020202020202020202020202020202020202020202"
 
-#define TOP "deployment = \"qurum\"\n"
+#define TOPLEVEL "deployment = \"qurum\"\n"
 #define TIERS                                                       \
 	"[[tier]]\nname = \"low\"\nrank = 1\npatience_ms = 60000\n" \
 	"[[tier]]\nname = \"charge\"\nrank = 0\npatience_ms = 5000\n"
@@ -39,7 +39,7 @@
 	"[[endpoint]]\nname = \"o1\"\ndatacentre = \"muscat-2\"\n"            \
 	"target = \"service:orders\"\naddress = \"127.0.0.1\"\nport = 7201\n" \
 	"concurrency = 16\nfencing = true\n"
-#define WHOLE TOP TIERS ACCOUNTS CONTRACTS SERVICES ENDPOINTS
+#define COMPLETE TOPLEVEL TIERS ACCOUNTS CONTRACTS SERVICES ENDPOINTS
 
 static problems_t problems;
 static pimento_config_t config;
@@ -61,23 +61,23 @@
 	pimento_config_finish(&config);
 }
 
-START_TEST(whole_is_read)
+START_TEST(complete_config_is_parsed)
 {
-	ck_assert_msg(!parse(WHOLE), "%s", problems.text);
+	ck_assert_msg(!parse(COMPLETE), "%s", problems.text);
 	ck_assert_str_eq(config.deployment, "qurum");
 	ck_assert_uint_eq(config.tier_count, 2);
 	ck_assert_str_eq(config.tiers[0].name, "charge");
 	ck_assert_str_eq(config.tiers[1].name, "low");
-	ck_assert_int_eq(config.tiers[0].patience, 5 * PIMENTO_SEC);
+	ck_assert_int_eq(config.tiers[0].timeout, 5 * PIMENTO_SEC);
 	ck_assert_uint_eq(config.body_max, 1048576);
 	ck_assert_int_eq(config.retention, 600 * PIMENTO_SEC);
 	ck_assert_uint_eq(config.accounts[0].weight, 4);
 	ck_assert_uint_eq(config.accounts[1].weight, 1);
 	ck_assert_uint_eq(config.contracts[0].tier, 1);
 	ck_assert(config.contracts[0].repeatable);
-	ck_assert_int_eq(config.contracts[0].patience, 60 * PIMENTO_SEC);
+	ck_assert_int_eq(config.contracts[0].timeout, 60 * PIMENTO_SEC);
 	ck_assert(!config.contracts[1].repeatable);
-	ck_assert_int_eq(config.contracts[1].patience, 4 * PIMENTO_SEC);
+	ck_assert_int_eq(config.contracts[1].timeout, 4 * PIMENTO_SEC);
 	ck_assert_uint_eq(config.endpoint_count, 2);
 	ck_assert_uint_ne(config.digest, 0);
 	finish();
@@ -91,88 +91,90 @@
 	const char *text;
 	const char *line; /* one of the lines reported */
 	uint32_t count; /* lines reported in all */
-} refused[] = {
+} rejected[] = {
 	{ "", "c.toml: deployment: is missing", 5 },
 	{ "deployment = ", "c.toml:1: syntax: ", 1 },
-	{ WHOLE "colour = 1\n", "c.toml:50: endpoint[2].colour: unknown key",
+	{ COMPLETE "colour = 1\n", "c.toml:50: endpoint[2].colour: unknown key",
 	  1 },
-	{ "colour = 1\n" WHOLE, "c.toml:1: colour: unknown key", 1 },
-	{ "tier = 3\n" TOP ACCOUNTS SERVICES ENDPOINTS,
+	{ "colour = 1\n" COMPLETE, "c.toml:1: colour: unknown key", 1 },
+	{ "tier = 3\n" TOPLEVEL ACCOUNTS SERVICES ENDPOINTS,
 	  "c.toml:1: tier: must be a list of tables", 2 },
-	{ "body_max = 1\n" WHOLE, "c.toml:1: body_max: must lie between", 1 },
-	{ "retention_s = \"x\"\n" WHOLE,
+	{ "body_max = 1\n" COMPLETE, "c.toml:1: body_max: must lie between",
+	  1 },
+	{ "retention_s = \"x\"\n" COMPLETE,
 	  "c.toml:1: retention_s: must be a whole number", 1 },
-	{ WHOLE CONTRACT("target = \"model:none\"\n"),
+	{ COMPLETE CONTRACT("target = \"model:none\"\n"),
 	  "contract[3].target: no endpoint serves \"model:none\"", 1 },
-	{ WHOLE CONTRACT("target = \"service:none\"\n"),
+	{ COMPLETE CONTRACT("target = \"service:none\"\n"),
 	  "contract[3].target: no [[service]] is named \"none\"", 2 },
-	{ WHOLE CONTRACT("target = \"planner\"\n"),
+	{ COMPLETE CONTRACT("target = \"planner\"\n"),
 	  "contract[3].target: must be \"model:NAME\"", 1 },
-	{ WHOLE CONTRACT("target = \"model:planner\"\npath = \"/x\"\n"),
+	{ COMPLETE CONTRACT("target = \"model:planner\"\npath = \"/x\"\n"),
 	  "contract[3].path: is for services only", 1 },
-	{ WHOLE CONTRACT("target = \"service:orders\"\nmethod = \"post\"\n"),
+	{ COMPLETE CONTRACT("target = \"service:orders\"\nmethod = \"post\"\n"),
 	  "contract[3].method: must be upper case", 1 },
-	{ WHOLE CONTRACT("target = \"service:orders\"\n"),
+	{ COMPLETE CONTRACT("target = \"service:orders\"\n"),
 	  "contract[3].repeatable: contract \"charge\" fits the same calls",
 	  1 },
-	{ WHOLE "[[contract]]\nname = \"plan\"\naccount = \"*\"\n"
-		"target = \"model:planner\"\ntier = \"mid\"\n",
+	{ COMPLETE "[[contract]]\nname = \"plan\"\naccount = \"*\"\n"
+		   "target = \"model:planner\"\ntier = \"mid\"\n",
 	  "contract[3].tier: no tier is named \"mid\"", 2 },
-	{ WHOLE "[[contract]]\nname = \"p\"\naccount = \"c\"\n"
-		"target = \"model:planner\"\ntier = \"low\"\n",
+	{ COMPLETE "[[contract]]\nname = \"p\"\naccount = \"c\"\n"
+		   "target = \"model:planner\"\ntier = \"low\"\n",
 	  "contract[3].account: no account is named \"c\"", 1 },
-	{ WHOLE "[[tier]]\nname = \"low\"\nrank = 1\npatience_ms = 100\n",
+	{ COMPLETE "[[tier]]\nname = \"low\"\nrank = 1\npatience_ms = 100\n",
 	  "tier[3].name: \"low\" stands twice", 2 },
-	{ WHOLE "[[tier]]\nname = \"x\"\nrank = 3\npatience_ms = 100\n",
+	{ COMPLETE "[[tier]]\nname = \"x\"\nrank = 3\npatience_ms = 100\n",
 	  "tier[3].rank: ranks count from 0 without gap", 1 },
-	{ WHOLE "[[account]]\nname = \"c\"\nkey_hash = \"" HASH_A "\"\n",
+	{ COMPLETE "[[account]]\nname = \"c\"\nkey_hash = \"" HASH_A "\"\n",
 	  "account[3].key_hash: account \"a\" has it too", 1 },
-	{ WHOLE "[[account]]\nname = \"C\"\nkey_hash = \"12\"\nweight = 0\n",
+	{ COMPLETE "[[account]]\nname = \"C\"\nkey_hash = \"12\"\nweight = 0\n",
 	  "account[3].weight: must lie between 1 and 1000", 3 },
-	{ WHOLE "[[service]]\nname = \"s\"\nprefix = \"/v1/x\"\n",
+	{ COMPLETE "[[service]]\nname = \"s\"\nprefix = \"/v1/x\"\n",
 	  "service[2].prefix: is a path that the daemon answers itself", 1 },
-	{ WHOLE "[[service]]\nname = \"s\"\nprefix = \"/orders\"\n",
+	{ COMPLETE "[[service]]\nname = \"s\"\nprefix = \"/orders\"\n",
 	  "service[2].prefix: \"/orders\" stands twice", 1 },
-	{ WHOLE "[[service]]\nname = \"s\"\nprefix = \"s/\"\n",
+	{ COMPLETE "[[service]]\nname = \"s\"\nprefix = \"s/\"\n",
 	  "service[2].prefix: must begin with '/'", 1 },
-	{ WHOLE "[[endpoint]]\nname = \"e1\"\ndatacentre = \"m\"\n"
-		"target = \"service:no\"\naddress = \"localhost\"\nport = 0\n"
-		"concurrency = true\n",
+	{ COMPLETE
+	  "[[endpoint]]\nname = \"e1\"\ndatacentre = \"m\"\n"
+	  "target = \"service:no\"\naddress = \"localhost\"\nport = 0\n"
+	  "concurrency = true\n",
 	  "endpoint[3].address: must be an IP number", 5 },
-	{ WHOLE "[[endpoint]]\nname = \"e9\"\ndatacentre = \"m\"\n"
-		"target = \"model:planner\"\naddress = \"127.0.0.1\"\n"
-		"port = 7101\nconcurrency = 1\n",
+	{ COMPLETE "[[endpoint]]\nname = \"e9\"\ndatacentre = \"m\"\n"
+		   "target = \"model:planner\"\naddress = \"127.0.0.1\"\n"
+		   "port = 7101\nconcurrency = 1\n",
 	  "endpoint[3].port: endpoint \"e1\" is at the same place", 1 },
-	{ "digest = \"0123456789abcdef\"\n" WHOLE,
+	{ "digest = \"0123456789abcdef\"\n" COMPLETE,
 	  "c.toml:1: digest: does not fit the text", 1 },
-	{ TOP "digest = \"0123456789abcdef\"\n" TIERS ACCOUNTS CONTRACTS
+	{ TOPLEVEL "digest = \"0123456789abcdef\"\n" TIERS ACCOUNTS CONTRACTS
 		  SERVICES ENDPOINTS,
 	  "c.toml:2: digest: must stand on the first line", 1 },
 };
 
-START_TEST(mistakes_are_all_reported)
+START_TEST(every_error_is_reported_and_config_discarded)
 {
 	pimento_config_t empty;
 
 	memset(&empty, 0, sizeof(empty));
-	ck_assert_int_eq(parse(refused[_i].text), PIMENTO_EPARSE);
-	ck_assert_msg(strstr(problems.text, refused[_i].line) != NULL,
-		      "wanted %s in:\n%s", refused[_i].line, problems.text);
-	ck_assert_msg(problems.count == refused[_i].count, "%u, not %u:\n%s",
-		      problems.count, refused[_i].count, problems.text);
+	ck_assert_int_eq(parse(rejected[_i].text), PIMENTO_EPARSE);
+	ck_assert_msg(strstr(problems.text, rejected[_i].line) != NULL,
+		      "wanted %s in:\n%s", rejected[_i].line, problems.text);
+	ck_assert_msg(problems.count == rejected[_i].count, "%u, not %u:\n%s",
+		      problems.count, rejected[_i].count, problems.text);
 	ck_assert_mem_eq(&config, &empty, sizeof(empty));
 	finish();
 }
 END_TEST
 
-START_TEST(digest_is_checked)
+START_TEST(digest_mismatch_is_rejected)
 {
 	char text[4096];
 
-	snprintf(
-		text, sizeof(text), "digest = \"%016llx\"\n%s",
-		(unsigned long long)pimento_config_digest(WHOLE, strlen(WHOLE)),
-		WHOLE);
+	snprintf(text, sizeof(text), "digest = \"%016llx\"\n%s",
+		 (unsigned long long)pimento_config_digest(COMPLETE,
+							   strlen(COMPLETE)),
+		 COMPLETE);
 	ck_assert_msg(!parse(text), "%s", problems.text);
 	finish();
 	text[strlen(text) - 1] = ' ';
@@ -184,7 +186,7 @@
 static const struct {
 	const char *unit; /* repeated up to a megabyte */
 	int error;
-} hostile[] = {
+} malformed[] = {
 	{ "a.", PIMENTO_EPARSE },
 	{ "[", PIMENTO_EPARSE },
 	{ "a=[", PIMENTO_EPARSE },
@@ -206,27 +208,27 @@
  * daemon would be gone; the user would notice that every entry host dies at
  * the same moment.
  */
-START_TEST(hostile_text_is_refused)
+START_TEST(nested_or_oversized_text_is_rejected)
 {
-	const char *unit = hostile[_i].unit;
+	const char *unit = malformed[_i].unit;
 	size_t step = strlen(unit);
-	char *text = malloc(CONFIG_TEXT_MAX + 1);
+	char *text = malloc(CONFIG_MAX_BYTES + 1);
 
-	for (size_t i = 0; i < CONFIG_TEXT_MAX; i++)
+	for (size_t i = 0; i < CONFIG_MAX_BYTES; i++)
 		text[i] = unit[i % step];
-	ck_assert_int_eq(parse_length(text, CONFIG_TEXT_MAX),
-			 hostile[_i].error);
+	ck_assert_int_eq(parse_length(text, CONFIG_MAX_BYTES),
+			 malformed[_i].error);
 	finish();
-	ck_assert_int_eq(parse_length(text, CONFIG_TEXT_MAX + 1),
+	ck_assert_int_eq(parse_length(text, CONFIG_MAX_BYTES + 1),
 			 PIMENTO_ETOOBIG);
 	finish();
 	free(text);
 }
 END_TEST
 
-START_TEST(damaged_text_never_crashes)
+START_TEST(corrupted_text_does_not_crash_parser)
 {
-	char text[] = WHOLE;
+	char text[] = COMPLETE;
 	size_t length = strlen(text);
 	pimento_random_t random;
 
@@ -246,16 +248,16 @@
 }
 END_TEST
 
-START_TEST(accounts_are_found_by_key_hash)
+START_TEST(account_is_found_only_by_exact_key_hash)
 {
 	uint8_t hash[32];
 
-	ck_assert_int_eq(parse(WHOLE), 0);
+	ck_assert_int_eq(parse(COMPLETE), 0);
 	for (uint8_t first = 0; first < 4; first++) {
 		const config_account_t *found;
 
 		memset(hash, first, sizeof(hash));
-		found = pimento_config_account(&config, hash);
+		found = pimento_config_find_account(&config, hash);
 		if (first == 1 || first == 2)
 			ck_assert_str_eq(found->name, first == 1 ? "a" : "b");
 		else
@@ -263,7 +265,7 @@
 	}
 	memset(hash, 1, sizeof(hash));
 	hash[31] = 0;
-	ck_assert_ptr_null(pimento_config_account(&config, hash));
+	ck_assert_ptr_null(pimento_config_find_account(&config, hash));
 	finish();
 }
 END_TEST
@@ -290,12 +292,12 @@
 	{ 1, NULL, CONFIG_TARGET_SERVICE, "orders", "POST", "/charge", NULL },
 };
 
-START_TEST(contracts_are_found_by_call)
+START_TEST(contract_matches_account_target_and_call)
 {
 	const config_contract_t *found;
 
-	ck_assert_int_eq(parse(WHOLE), 0);
-	found = pimento_config_contract(
+	ck_assert_int_eq(parse(COMPLETE), 0);
+	found = pimento_config_find_contract(
 		&config, &config.accounts[calls[_i].account], calls[_i].name,
 		calls[_i].target, calls[_i].target_name, calls[_i].method,
 		calls[_i].path);
@@ -304,22 +306,24 @@
 }
 END_TEST
 
-START_TEST(services_and_endpoints_are_found)
+START_TEST(service_is_found_by_longest_prefix)
 {
 	const config_endpoint_t *endpoint;
 
-	ck_assert_int_eq(parse(WHOLE "[[service]]\nname = \"s\"\n"
-				     "prefix = \"/orders/deep\"\n"),
+	ck_assert_int_eq(parse(COMPLETE "[[service]]\nname = \"s\"\n"
+					"prefix = \"/orders/deep\"\n"),
 			 0);
-	ck_assert_ptr_null(pimento_config_service(&config, "/ordersx"));
-	ck_assert_str_eq(pimento_config_service(&config, "/orders/x")->name,
-			 "orders");
+	ck_assert_ptr_null(pimento_config_find_service(&config, "/ordersx"));
+	ck_assert_str_eq(
+		pimento_config_find_service(&config, "/orders/x")->name,
+		"orders");
 	ck_assert_str_eq(
-		pimento_config_service(&config, "/orders/deep/x")->name, "s");
-	endpoint = pimento_config_endpoint(&config, pimento_id("o1"));
+		pimento_config_find_service(&config, "/orders/deep/x")->name,
+		"s");
+	endpoint = pimento_config_find_endpoint(&config, pimento_id("o1"));
 	ck_assert_uint_eq(endpoint->port, 7201);
 	ck_assert(endpoint->fencing);
-	ck_assert_ptr_null(pimento_config_endpoint(&config, 5));
+	ck_assert_ptr_null(pimento_config_find_endpoint(&config, 5));
 	finish();
 }
 END_TEST
@@ -332,14 +336,17 @@
 	int failed;
 
 	tcase_set_timeout(tc, 60);
-	tcase_add_test(tc, whole_is_read);
-	tcase_add_loop_test(tc, mistakes_are_all_reported, 0, COUNT(refused));
-	tcase_add_test(tc, digest_is_checked);
-	tcase_add_loop_test(tc, hostile_text_is_refused, 0, COUNT(hostile));
-	tcase_add_test(tc, damaged_text_never_crashes);
-	tcase_add_test(tc, accounts_are_found_by_key_hash);
-	tcase_add_loop_test(tc, contracts_are_found_by_call, 0, COUNT(calls));
-	tcase_add_test(tc, services_and_endpoints_are_found);
+	tcase_add_test(tc, complete_config_is_parsed);
+	tcase_add_loop_test(tc, every_error_is_reported_and_config_discarded, 0,
+			    COUNT(rejected));
+	tcase_add_test(tc, digest_mismatch_is_rejected);
+	tcase_add_loop_test(tc, nested_or_oversized_text_is_rejected, 0,
+			    COUNT(malformed));
+	tcase_add_test(tc, corrupted_text_does_not_crash_parser);
+	tcase_add_test(tc, account_is_found_only_by_exact_key_hash);
+	tcase_add_loop_test(tc, contract_matches_account_target_and_call, 0,
+			    COUNT(calls));
+	tcase_add_test(tc, service_is_found_by_longest_prefix);
 	suite_add_tcase(suite, tc);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_edge_settings.c
+++ b/test/test_edge_settings.c
@@ -37,7 +37,7 @@
 	{ "[host\n", "" },
 };
 
-START_TEST(settings_are_taken_whole_or_refused_with_reasons)
+START_TEST(invalid_settings_are_rejected_with_reason)
 {
 	edge_settings_t settings;
 	problems_t problems;
@@ -64,7 +64,7 @@
  * would be zero: a stream whose endpoint crashes would end there for its caller,
  * though the route lets it go on at another endpoint.
  */
-START_TEST(repeats_are_allowed_where_no_bound_is_stated)
+START_TEST(retry_budget_defaults_are_not_zero)
 {
 	const char *text = HOST LISTEN STORE;
 	edge_settings_t settings;
@@ -87,10 +87,9 @@
 	SRunner *runner;
 	int failed;
 
-	tcase_add_loop_test(tests,
-			    settings_are_taken_whole_or_refused_with_reasons, 0,
+	tcase_add_loop_test(tests, invalid_settings_are_rejected_with_reason, 0,
 			    sizeof(cases) / sizeof(cases[0]));
-	tcase_add_test(tests, repeats_are_allowed_where_no_bound_is_stated);
+	tcase_add_test(tests, retry_budget_defaults_are_not_zero);
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_explain.c
+++ b/test/test_explain.c
@@ -18,56 +18,56 @@
 };
 
 static explain_t explain;
-static text_t text;
+static strbuf_t text;
 
 static void setup(void)
 {
-	text_init(&text);
+	strbuf_init(&text);
 }
 
 static void teardown(void)
 {
 	explain_finish(&explain);
-	text_finish(&text);
+	strbuf_finish(&text);
 }
 
-static int tell(const char *id)
+static int explain_logs(const char *id)
 {
 	explain_init(&explain, id);
 	for (size_t i = 0; i < sizeof(logs) / sizeof(logs[0]); i++)
-		explain_line(&explain, logs[i]);
+		explain_add_line(&explain, logs[i]);
 	return explain_write(&explain, &text);
 }
 
-START_TEST(the_lines_of_one_request_come_in_order_with_the_cause_last)
+START_TEST(log_lines_are_sorted_and_followed_by_cause)
 {
 	const char *first;
 	const char *second;
 	const char *cause;
 
-	ck_assert_int_eq(tell("aa1"), 2);
-	first = strstr(text_get(&text), "at=12.100");
-	second = strstr(text_get(&text), "at=12.500");
-	cause = strstr(text_get(&text), "failed at b: the connection");
+	ck_assert_int_eq(explain_logs("aa1"), 2);
+	first = strstr(strbuf_str(&text), "at=12.100");
+	second = strstr(strbuf_str(&text), "at=12.500");
+	cause = strstr(strbuf_str(&text), "failed at b: the connection");
 	ck_assert_ptr_nonnull(first);
 	ck_assert_ptr_nonnull(second);
 	ck_assert_ptr_nonnull(cause);
 	ck_assert(first < second && second < cause);
-	ck_assert_ptr_null(strstr(text_get(&text), "aa10"));
+	ck_assert_ptr_null(strstr(strbuf_str(&text), "aa10"));
 }
 END_TEST
 
-START_TEST(a_request_that_nobody_names_has_no_story)
+START_TEST(unlogged_request_gives_no_output)
 {
-	ck_assert_int_eq(tell("aa"), 0);
-	ck_assert_str_eq(text_get(&text), "");
+	ck_assert_int_eq(explain_logs("aa"), 0);
+	ck_assert_str_eq(strbuf_str(&text), "");
 }
 END_TEST
 
-START_TEST(what_is_not_known_is_not_explained)
+START_TEST(unknown_reason_has_no_explanation)
 {
-	ck_assert_ptr_nonnull(explain_why("no_place"));
-	ck_assert_ptr_null(explain_why("no_plac"));
+	ck_assert_ptr_nonnull(explain_reason("no_place"));
+	ck_assert_ptr_null(explain_reason("no_plac"));
 }
 END_TEST
 
@@ -79,11 +79,9 @@
 	int failed;
 
 	tcase_add_checked_fixture(tests, setup, teardown);
-	tcase_add_test(
-		tests,
-		the_lines_of_one_request_come_in_order_with_the_cause_last);
-	tcase_add_test(tests, a_request_that_nobody_names_has_no_story);
-	tcase_add_test(tests, what_is_not_known_is_not_explained);
+	tcase_add_test(tests, log_lines_are_sorted_and_followed_by_cause);
+	tcase_add_test(tests, unlogged_request_gives_no_output);
+	tcase_add_test(tests, unknown_reason_has_no_explanation);
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_membership.c
+++ b/test/test_membership.c
@@ -220,7 +220,7 @@
 
 START_TEST(endpoint_leaving_binds_one_incarnation)
 {
-	hostlist_host_t entry = { .id = ENDPOINT, .endpoint = true };
+	hostlist_host_t entry = { .id = ENDPOINT, .is_endpoint = true };
 	hostlist_t list = { 1, 1, &entry };
 
 	membership_apply_hostlist(&membership, now, &list);
--- a/test/test_answers.c
+++ b/test/test_questionnaire.c
@@ -4,8 +4,8 @@
  * the difference of two is told in plain words.
  */
 
-#include "answers.h"
-#include "diff.h"
+#include "questionnaire.h"
+#include "config_diff.h"
 
 #include <check.h>
 #include <stdio.h>
@@ -17,9 +17,9 @@
 static problems_t problems;
 
 /* Returns the template with one piece replaced, or more appended. */
-static char *changed(const char *from, const char *to)
+static char *edit_template(const char *from, const char *to)
 {
-	const char *template = answers_template();
+	const char *template = questionnaire_template();
 	const char *at =
 		from ? strstr(template, from) : template + strlen(template);
 	size_t kept = (size_t)(at - template);
@@ -32,43 +32,44 @@
 	return text;
 }
 
-static int generate(const char *text, text_t *to)
+static int generate(const char *text, strbuf_t *to)
 {
-	answers_t answers;
+	questionnaire_t answers;
 	int error;
 
 	problems_init(&problems);
-	text_init(to);
-	error = answers_parse(&answers, text, strlen(text), "a", &problems);
+	strbuf_init(to);
+	error = questionnaire_parse(&answers, text, strlen(text), "a",
+				    &problems);
 	if (error)
 		return error;
-	error = answers_generate(&answers, to);
-	answers_finish(&answers);
+	error = questionnaire_generate(&answers, to);
+	questionnaire_finish(&answers);
 	return error;
 }
 
-static void load(const char *text, pimento_config_t *config)
+static void generate_config(const char *text, pimento_config_t *config)
 {
-	text_t generated;
+	strbuf_t generated;
 
 	ck_assert_msg(!generate(text, &generated), "%s", problems.text);
-	ck_assert_msg(!pimento_config_parse(config, text_get(&generated),
+	ck_assert_msg(!pimento_config_parse(config, strbuf_str(&generated),
 					    generated.length, "g", &problems),
 		      "%s", problems.text);
-	text_finish(&generated);
+	strbuf_finish(&generated);
 	problems_finish(&problems);
 }
 
-START_TEST(template_is_acceptable)
+START_TEST(template_gives_valid_config)
 {
 	pimento_config_t config;
 
-	load(answers_template(), &config);
+	generate_config(questionnaire_template(), &config);
 	ck_assert_uint_eq(config.tier_count, 2);
 	ck_assert_uint_eq(config.body_max, 262144);
 	ck_assert_int_eq(config.retention, 600 * PIMENTO_SEC);
 	ck_assert(!config.contracts[0].repeatable);
-	ck_assert_int_eq(config.contracts[1].patience, 300 * PIMENTO_SEC);
+	ck_assert_int_eq(config.contracts[1].timeout, 300 * PIMENTO_SEC);
 	ck_assert_uint_eq(config.contracts[1].answer_tokens, 600);
 	pimento_config_finish(&config);
 }
@@ -77,7 +78,7 @@
 static const char *const examples[] = { "examples/qurum.answers.toml",
 					"examples/druckstube.answers.toml" };
 
-START_TEST(examples_are_acceptable)
+START_TEST(examples_give_valid_config)
 {
 	char text[16384];
 	pimento_config_t config;
@@ -87,10 +88,10 @@
 	ck_assert_ptr_nonnull(file);
 	text[fread(text, 1, sizeof(text) - 1, file)] = '\0';
 	fclose(file);
-	load(text, &config);
+	generate_config(text, &config);
 	ck_assert_uint_eq(config.account_count, 5);
-	pimento_config_key_hash("demo-key", 8, hash);
-	ck_assert_ptr_nonnull(pimento_config_account(&config, hash));
+	pimento_config_hash_key("demo-key", 8, hash);
+	ck_assert_ptr_nonnull(pimento_config_find_account(&config, hash));
 	pimento_config_finish(&config);
 }
 END_TEST
@@ -100,7 +101,7 @@
 	const char *to;
 	const char *line;
 	uint32_t count;
-} refused[] = {
+} rejected[] = {
 	{ "[[tier]]", "[[teir]]", "teir: unknown key", 2 },
 	{ "\"10s\"", "\"10 parsecs\"", "tier[1].until: must be a span", 1 },
 	{ "\"10s\"", "\"9d\"", "tier[1].until: must lie between", 1 },
@@ -142,15 +143,15 @@
 	  "request[3].may_repeat: request \"charge\" fits the same calls", 1 },
 };
 
-START_TEST(mistakes_are_reported)
+START_TEST(errors_are_reported_with_key_and_reason)
 {
-	char *text = changed(refused[_i].from, refused[_i].to);
-	text_t generated;
+	char *text = edit_template(rejected[_i].from, rejected[_i].to);
+	strbuf_t generated;
 
 	ck_assert_int_eq(generate(text, &generated), PIMENTO_EPARSE);
-	ck_assert_msg(strstr(problems.text, refused[_i].line) != NULL,
-		      "wanted %s in:\n%s", refused[_i].line, problems.text);
-	ck_assert_msg(problems.count == refused[_i].count, "%u:\n%s",
+	ck_assert_msg(strstr(problems.text, rejected[_i].line) != NULL,
+		      "wanted %s in:\n%s", rejected[_i].line, problems.text);
+	ck_assert_msg(problems.count == rejected[_i].count, "%u:\n%s",
 		      problems.count, problems.text);
 	problems_finish(&problems);
 	free(text);
@@ -158,10 +159,10 @@
 END_TEST
 
 /* Drops comments and empty lines, and swaps two keys. */
-static char *reformatted(void)
+static char *reformat_template(void)
 {
-	char *text = changed("name = \"now\"\nuntil = \"10s\"",
-			     "until=\"10 s\"\nname='now'");
+	char *text = edit_template("name = \"now\"\nuntil = \"10s\"",
+				   "until=\"10 s\"\nname='now'");
 	char *to = text;
 
 	for (const char *line = text; *line;) {
@@ -177,17 +178,17 @@
 	return text;
 }
 
-START_TEST(same_answers_give_the_same_bytes)
+START_TEST(generated_config_ignores_formatting_of_answers)
 {
-	char *other = reformatted();
-	text_t a;
-	text_t b;
+	char *other = reformat_template();
+	strbuf_t a;
+	strbuf_t b;
 
-	ck_assert_int_eq(generate(answers_template(), &a), 0);
+	ck_assert_int_eq(generate(questionnaire_template(), &a), 0);
 	ck_assert_msg(!generate(other, &b), "%s", problems.text);
-	ck_assert_str_eq(text_get(&a), text_get(&b));
-	text_finish(&a);
-	text_finish(&b);
+	ck_assert_str_eq(strbuf_str(&a), strbuf_str(&b));
+	strbuf_finish(&a);
+	strbuf_finish(&b);
 	free(other);
 }
 END_TEST
@@ -195,8 +196,8 @@
 static const struct {
 	const char *from;
 	const char *to;
-	const char *told;
-} differences[] = {
+	const char *expected;
+} diff_cases[] = {
 	{ "# Names", "# Names", "" },
 	{ "\"10s\"", "\"12s\"",
 	  "Request \"charge\" is given up after 12 s instead of 10 s, for "
@@ -223,19 +224,19 @@
 	  "\"kiosk\".\n" },
 };
 
-START_TEST(differences_are_told)
+START_TEST(diff_describes_each_change)
 {
-	char *text = changed(differences[_i].from, differences[_i].to);
+	char *text = edit_template(diff_cases[_i].from, diff_cases[_i].to);
 	pimento_config_t before;
 	pimento_config_t after;
-	text_t told;
+	strbuf_t expected;
 
-	load(answers_template(), &before);
-	load(text, &after);
-	text_init(&told);
-	ck_assert_int_ge(diff_configs(&before, &after, &told), 0);
-	ck_assert_str_eq(text_get(&told), differences[_i].told);
-	text_finish(&told);
+	generate_config(questionnaire_template(), &before);
+	generate_config(text, &after);
+	strbuf_init(&expected);
+	ck_assert_int_ge(config_diff(&before, &after, &expected), 0);
+	ck_assert_str_eq(strbuf_str(&expected), diff_cases[_i].expected);
+	strbuf_finish(&expected);
 	pimento_config_finish(&before);
 	pimento_config_finish(&after);
 	free(text);
@@ -249,11 +250,13 @@
 	SRunner *runner;
 	int failed;
 
-	tcase_add_test(tc, template_is_acceptable);
-	tcase_add_loop_test(tc, examples_are_acceptable, 0, COUNT(examples));
-	tcase_add_loop_test(tc, mistakes_are_reported, 0, COUNT(refused));
-	tcase_add_test(tc, same_answers_give_the_same_bytes);
-	tcase_add_loop_test(tc, differences_are_told, 0, COUNT(differences));
+	tcase_add_test(tc, template_gives_valid_config);
+	tcase_add_loop_test(tc, examples_give_valid_config, 0, COUNT(examples));
+	tcase_add_loop_test(tc, errors_are_reported_with_key_and_reason, 0,
+			    COUNT(rejected));
+	tcase_add_test(tc, generated_config_ignores_formatting_of_answers);
+	tcase_add_loop_test(tc, diff_describes_each_change, 0,
+			    COUNT(diff_cases));
 	suite_add_tcase(suite, tc);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
--- a/test/test_report.c
+++ b/test/test_report.c
@@ -15,7 +15,7 @@
 
 static void collect(void *context, const char *bytes, size_t length)
 {
-	text_add_bytes(context, bytes, length);
+	strbuf_add(context, bytes, length);
 }
 
 #define EVENT(text) "data: {\"choices\":[{\"text\":\"" text "\"}]}\r\n\r\n"
@@ -52,9 +52,9 @@
 
 	for (size_t step = 1; step <= length + 1; step++) {
 		answer_reader_t reader;
-		text_t text;
+		strbuf_t text;
 
-		text_init(&text);
+		strbuf_init(&text);
 		answer_reader_init(&reader, answers[_i].stream, collect, &text);
 		for (size_t at = 0; at < length; at += step) {
 			size_t left = length - at;
@@ -64,11 +64,11 @@
 						   left < step ? left : step));
 		}
 		answer_reader_end(&reader);
-		ck_assert_str_eq(text_get(&text), answers[_i].text);
+		ck_assert_str_eq(strbuf_str(&text), answers[_i].text);
 		ck_assert_int_eq(reader.done, answers[_i].done);
 		ck_assert_str_eq(reader.verdict, answers[_i].verdict);
 		answer_reader_finish(&reader);
-		text_finish(&text);
+		strbuf_finish(&text);
 	}
 }
 END_TEST
@@ -125,22 +125,22 @@
 {
 	json_t *hosts[3];
 	size_t count = 0;
-	text_t text;
+	strbuf_t text;
 
 	while (count < 3 && tables[_i].hosts[count]) {
 		hosts[count] = json_loads(tables[_i].hosts[count], 0, NULL);
 		ck_assert_ptr_nonnull(hosts[count]);
 		count++;
 	}
-	text_init(&text);
+	strbuf_init(&text);
 	status_table(hosts, count, &text);
 	for (int i = 0; i < 4 && tables[_i].lines[i]; i++)
-		ck_assert_msg(strstr(text_get(&text), tables[_i].lines[i]) !=
+		ck_assert_msg(strstr(strbuf_str(&text), tables[_i].lines[i]) !=
 				      NULL,
 			      "no \"%s\" in:\n%s", tables[_i].lines[i],
-			      text_get(&text));
-	ck_assert_ptr_null(strstr(text_get(&text), tables[_i].absent));
-	text_finish(&text);
+			      strbuf_str(&text));
+	ck_assert_ptr_null(strstr(strbuf_str(&text), tables[_i].absent));
+	strbuf_finish(&text);
 	while (count)
 		json_decref(hosts[--count]);
 }
@@ -149,25 +149,25 @@
 START_TEST(burn_is_shown)
 {
 	burn_report_t report = { .tier = "a<b", .objective = 0.999 };
-	text_t text;
+	strbuf_t text;
 
 	for (int i = 0; i < BURN_WINDOWS; i++)
 		report.windows[i] = (burn_count_t){ 980, 1000 };
 	report.windows[0].total = report.windows[0].good = 0;
 	report.series[3] = (burn_count_t){ 980, 1000 };
-	text_init(&text);
-	burn_table(&report, 1, &text);
-	ck_assert_ptr_nonnull(
-		strstr(text_get(&text), "99.90 %        -    20.00    20.00"));
-	ck_assert_ptr_nonnull(strstr(text_get(&text), "1000  slow\n"));
-	text_finish(&text);
-	burn_html(&report, 1, 2, "now", &text);
-	ck_assert_ptr_nonnull(strstr(text_get(&text), "<h2>a&lt;b</h2>"));
-	ck_assert_ptr_nonnull(strstr(text_get(&text), "counts of 2 hosts"));
-	ck_assert_ptr_nonnull(strstr(text_get(&text), "rect class=\"bad\""));
-	ck_assert_ptr_null(strstr(text_get(&text), "http"));
-	ck_assert_ptr_null(strstr(text_get(&text), "<script"));
-	text_finish(&text);
+	strbuf_init(&text);
+	burn_write_table(&report, 1, &text);
+	ck_assert_ptr_nonnull(strstr(strbuf_str(&text),
+				     "99.90 %        -    20.00    20.00"));
+	ck_assert_ptr_nonnull(strstr(strbuf_str(&text), "1000  slow\n"));
+	strbuf_finish(&text);
+	burn_write_html(&report, 1, 2, "now", &text);
+	ck_assert_ptr_nonnull(strstr(strbuf_str(&text), "<h2>a&lt;b</h2>"));
+	ck_assert_ptr_nonnull(strstr(strbuf_str(&text), "counts of 2 hosts"));
+	ck_assert_ptr_nonnull(strstr(strbuf_str(&text), "rect class=\"bad\""));
+	ck_assert_ptr_null(strstr(strbuf_str(&text), "http"));
+	ck_assert_ptr_null(strstr(strbuf_str(&text), "<script"));
+	strbuf_finish(&text);
 }
 END_TEST
 
--- a/test/test_settings.c
+++ b/test/test_settings.c
@@ -19,7 +19,7 @@
 	"datacentre = \"muscat-1\"\naddress = \"127.0.0.1\"\n" \
 	"http_port = 8080\npeer_port = 9080\n"
 #define PLATFORM "[platform]\naddress = \"127.0.0.1\"\nport = 7000\n"
-#define WHOLE HOST PLATFORM "[keys]\n" SECRET
+#define COMPLETE HOST PLATFORM "[keys]\n" SECRET
 
 static problems_t problems;
 static settings_t settings;
@@ -31,16 +31,16 @@
 			      &problems);
 }
 
-START_TEST(defaults_and_values)
+START_TEST(settings_have_defaults_and_parsed_values)
 {
-	ck_assert_msg(!parse(WHOLE), "%s", problems.text);
+	ck_assert_msg(!parse(COMPLETE), "%s", problems.text);
 	ck_assert_str_eq(settings.name, "h1");
 	ck_assert_int_eq(settings.log_level, 6);
 	ck_assert_uint_eq(settings.connections, 1024);
 	ck_assert_uint_eq(settings.stop_seconds, 900);
 	ck_assert_uint_eq(settings.secret[15], 15);
 	problems_finish(&problems);
-	ck_assert_int_eq(parse(WHOLE
+	ck_assert_int_eq(parse(COMPLETE
 			       "[peers]\nseeds = [\"127.0.0.1:9081\", "
 			       "\"[::1]:9082\"]\n[log]\nlevel = \"debug\"\n"
 			       "[limits]\nconnections = 9\nstop_seconds = 8\n"),
@@ -59,28 +59,28 @@
 	const char *text;
 	const char *line;
 	uint32_t count;
-} refused[] = {
+} rejected[] = {
 	{ "", "s.toml: deployment: is missing", 4 },
 	{ HOST "[keys]\n", "s.toml:8: keys.secret: is missing", 2 },
 	{ "host = 1\n" PLATFORM "[keys]\n" SECRET,
 	  "s.toml:1: host: must be a table", 2 },
-	{ WHOLE "[log]\nlevel = \"loud\"\n",
+	{ COMPLETE "[log]\nlevel = \"loud\"\n",
 	  "s.toml:14: log.level: must be one of \"error\", \"warning\", "
 	  "\"info\", \"debug\"",
 	  1 },
-	{ WHOLE "[peers]\nseeds = [\"x:1\", \"1.2.3.4:0\", \"1.2.3.4\"]\n",
+	{ COMPLETE "[peers]\nseeds = [\"x:1\", \"1.2.3.4:0\", \"1.2.3.4\"]\n",
 	  "s.toml:14: peers.seeds: \"1.2.3.4:0\" is not an address", 3 },
-	{ WHOLE "[limits]\nconnections = 0\nstop = 1\n",
+	{ COMPLETE "[limits]\nconnections = 0\nstop = 1\n",
 	  "s.toml:15: limits.stop: unknown key", 2 },
 	{ "[a", "s.toml:1: syntax:", 1 },
 };
 
-START_TEST(mistakes_are_all_reported)
+START_TEST(every_error_is_reported_with_line)
 {
-	ck_assert_int_eq(parse(refused[_i].text), PIMENTO_EPARSE);
-	ck_assert_msg(strstr(problems.text, refused[_i].line) != NULL,
-		      "wanted %s in:\n%s", refused[_i].line, problems.text);
-	ck_assert_msg(problems.count == refused[_i].count, "%u:\n%s",
+	ck_assert_int_eq(parse(rejected[_i].text), PIMENTO_EPARSE);
+	ck_assert_msg(strstr(problems.text, rejected[_i].line) != NULL,
+		      "wanted %s in:\n%s", rejected[_i].line, problems.text);
+	ck_assert_msg(problems.count == rejected[_i].count, "%u:\n%s",
 		      problems.count, problems.text);
 	problems_finish(&problems);
 }
@@ -99,15 +99,15 @@
 	"\\U0010FFFF", "\x7f", "\x01",	"=[{",
 };
 
-#define SOUP_BYTES 600
-#define SOUP_TOKENS 60
+#define RANDOM_TEXT_BYTES 600
+#define RANDOM_TEXT_TOKENS 60
 
-static size_t make_soup(char *text, pimento_random_t *random)
+static size_t make_random_text(char *text, pimento_random_t *random)
 {
-	uint64_t count = 1 + pimento_random_below(random, SOUP_TOKENS);
+	uint64_t count = 1 + pimento_random_below(random, RANDOM_TEXT_TOKENS);
 	size_t used = 0;
 
-	for (uint64_t i = 0; i < count && used < SOUP_BYTES - 20; i++) {
+	for (uint64_t i = 0; i < count && used < RANDOM_TEXT_BYTES - 20; i++) {
 		size_t at = pimento_random_below(random, COUNT(tokens));
 
 		memcpy(text + used, tokens[at], strlen(tokens[at]));
@@ -124,14 +124,14 @@
  * a host that does not start. Under the sanitizers this found characters that
  * the library did not expect.
  */
-START_TEST(any_text_is_judged)
+START_TEST(random_tokens_are_rejected_with_reason)
 {
-	char text[SOUP_BYTES];
+	char text[RANDOM_TEXT_BYTES];
 	pimento_random_t random;
 
 	pimento_random_init(&random, (uint64_t)_i);
 	for (int round = 0; round < 5000; round++) {
-		size_t length = make_soup(text, &random);
+		size_t length = make_random_text(text, &random);
 
 		problems_init(&problems);
 		ck_assert_int_eq(
@@ -165,7 +165,7 @@
 	{ "", PIMENTO_EPARSE, 1 },
 };
 
-START_TEST(host_lists)
+START_TEST(host_list_is_parsed_or_rejected)
 {
 	hostlist_t list;
 
@@ -192,10 +192,12 @@
 	SRunner *runner;
 	int failed;
 
-	tcase_add_test(tc, defaults_and_values);
-	tcase_add_loop_test(tc, mistakes_are_all_reported, 0, COUNT(refused));
-	tcase_add_loop_test(tc, any_text_is_judged, 0, 4);
-	tcase_add_loop_test(tc, host_lists, 0, COUNT(lists));
+	tcase_add_test(tc, settings_have_defaults_and_parsed_values);
+	tcase_add_loop_test(tc, every_error_is_reported_with_line, 0,
+			    COUNT(rejected));
+	tcase_add_loop_test(tc, random_tokens_are_rejected_with_reason, 0, 4);
+	tcase_add_loop_test(tc, host_list_is_parsed_or_rejected, 0,
+			    COUNT(lists));
 	suite_add_tcase(suite, tc);
 	runner = srunner_create(suite);
 	srunner_run_all(runner, CK_NORMAL);
