--- a/Makefile
+++ b/Makefile
@@ -46,7 +46,7 @@
 BENCH_SHARED = $(filter-out bench/bench.c bench/slopes.c bench/load.c,\
 	$(wildcard bench/*.c))
 # The hosts in virtual time, for the tests and for the slopes.
-GOSSIP = $(wildcard test/gossip.c)
+GOSSIP = $(wildcard test/gossip_sim.c)
 TESTS = $(patsubst test/%.c,$(B)/test/%,$(wildcard test/test_*.c))
 TEST_SHARED = $(filter-out $(wildcard test/test_*.c test/fuzz_*.c),\
 	$(wildcard test/*.c))
--- a/bench/slope_gossip.c
+++ b/bench/slope_gossip.c
@@ -3,7 +3,7 @@
  * and the loss of hosts, at the true encoding's size and in virtual time.
  */
 
-#include "gossip.h"
+#include "gossip_sim.h"
 #include "slope.h"
 
 #include <stdio.h>
--- a/test/gossip.c
+++ b/test/gossip_sim.c
@@ -4,7 +4,7 @@
  * buffer: the order in which a woken process trusts stale knowledge.
  */
 
-#include "gossip.h"
+#include "gossip_sim.h"
 
 #include "wire.h"
 
--- a/test/world.c
+++ b/test/netsim.c
@@ -4,7 +4,7 @@
  * it; a dead host's are lost.
  */
 
-#include "world.h"
+#include "netsim.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/test/test_gossip.c
+++ b/test/test_gossip.c
@@ -4,7 +4,7 @@
  * ones.
  */
 
-#include "gossip.h"
+#include "gossip_sim.h"
 
 #include <check.h>
 #include <stdio.h>
--- a/test/test_host_random.c
+++ b/test/test_host_random.c
@@ -8,7 +8,7 @@
  *	SEEDS=n build/test/test_host_random	runs n of each kind
  */
 
-#include "world.h"
+#include "netsim.h"
 
 #include <check.h>
 #include <inttypes.h>
