--- a/src/packet.c
+++ b/src/packet.c
@@ -26,7 +26,7 @@
 	return (uint32_t)(age / PIMENTO_MSEC) + 1; /* never younger */
 }
 
-static uint64_t whole_tokens(double tokens)
+static uint64_t truncate_tokens(double tokens)
 {
 	return tokens > 0 ? (uint64_t)tokens : 0;
 }
@@ -78,7 +78,7 @@
 		peer__quota__init(&scratch->quotas[i]);
 		scratch->quotas[i].account = gossip->quotas[i].account;
 		scratch->quotas[i].level =
-			whole_tokens(gossip->quotas[i].level);
+			truncate_tokens(gossip->quotas[i].level);
 		scratch->quotas[i].age_ms =
 			(uint32_t)(gossip->quotas[i].age / PIMENTO_MSEC);
 		scratch->quota_pointers[i] = &scratch->quotas[i];
@@ -117,7 +117,7 @@
 }
 
 /* Reports of endpoints that come before a host's own loads. */
-#define OWNED_KEPT_MIN 16
+#define OWNER_REPORTS_KEPT_MIN 16
 
 /* Lowers a count of the message's parts, down to min_count, until it fits. */
 static void trim_list(const Peer__Packet *message, size_t size, size_t *count,
@@ -138,7 +138,7 @@
 {
 	Peer__Note *out = message->note;
 
-	trim_list(message, size, &out->n_owned, OWNED_KEPT_MIN);
+	trim_list(message, size, &out->n_owned, OWNER_REPORTS_KEPT_MIN);
 	trim_list(message, size, &out->n_loads, 0);
 	trim_list(message, size, &out->n_owned, 0);
 	trim_list(message, size, &out->n_quotas, 0);
@@ -247,14 +247,14 @@
 	out.address = quota->address;
 	out.account = quota->account;
 	out.ticket = quota->ticket;
-	out.tokens = whole_tokens(quota->tokens);
+	out.tokens = truncate_tokens(quota->tokens);
 	out.tier = quota->tier;
-	out.per_second = whole_tokens(quota->limit.tokens_per_second);
-	out.burst = whole_tokens(quota->limit.burst);
+	out.per_second = truncate_tokens(quota->limit.tokens_per_second);
+	out.burst = truncate_tokens(quota->limit.burst);
 	out.version = quota->version;
 	out.admitted = quota->admitted;
 	out.retry_after_ms = (uint32_t)(quota->retry_after / PIMENTO_MSEC);
-	out.level = whole_tokens(quota->level);
+	out.level = truncate_tokens(quota->level);
 	message.content_case = PEER__PACKET__CONTENT_QUOTA;
 	message.quota = &out;
 	return encode(&message, bytes, size);
@@ -280,7 +280,7 @@
 	return PIMENTO_EINVAL;
 }
 
-static uint32_t min_count(size_t count, uint32_t max)
+static uint32_t clamp_count(size_t count, uint32_t max)
 {
 	return count < max ? (uint32_t)count : max;
 }
@@ -309,18 +309,18 @@
 		.incarnation = message->incarnation,
 		.target = message->target,
 		.revision = message->settled != 0,
-		.count = min_count(message->n_facts, MESSAGE_FACTS_MAX),
+		.count = clamp_count(message->n_facts, MESSAGE_FACTS_MAX),
 	};
 	for (uint32_t i = 0; i < membership->count; i++)
 		membership->facts[i] = (message_fact_t){
 			.subject = message->facts[i]->address,
 			.incarnation = message->facts[i]->incarnation,
 			.version = message->facts[i]->version,
-			.state = (uint8_t)min_count(message->facts[i]->state,
-						    UINT8_MAX),
+			.state = (uint8_t)clamp_count(message->facts[i]->state,
+						      UINT8_MAX),
 		};
 	gossip->poller_count =
-		min_count(message->n_readers, GOSSIP_POLLERS_MAX);
+		clamp_count(message->n_readers, GOSSIP_POLLERS_MAX);
 	for (uint32_t i = 0; i < gossip->poller_count; i++)
 		gossip->pollers[i] = (gossip_poller_t){
 			.address = message->readers[i]->address,
@@ -343,9 +343,9 @@
 				message->endpoints_revision,
 				decode_age_ms(message->endpoints_age_ms) },
 		},
-		.load_count = min_count(message->n_loads, GOSSIP_LOADS_MAX),
-		.quota_count = min_count(message->n_quotas, GOSSIP_QUOTAS_MAX),
-		.owner_report_count = min_count(message->n_owned, GOSSIP_OWNER_REPORTS_MAX),
+		.load_count = clamp_count(message->n_loads, GOSSIP_LOADS_MAX),
+		.quota_count = clamp_count(message->n_quotas, GOSSIP_QUOTAS_MAX),
+		.owner_report_count = clamp_count(message->n_owned, GOSSIP_OWNER_REPORTS_MAX),
 	};
 	for (uint32_t i = 0; i < gossip->load_count; i++) {
 		gossip->loads[i].endpoint = message->loads[i]->endpoint;
--- a/src/wire.c
+++ b/src/wire.c
@@ -13,12 +13,12 @@
 /* Everything an envelope can point to while it is packed. */
 typedef struct scratch {
 	Wire__Reqid reqid;
-	Wire__Reqid place_reqid;
+	Wire__Reqid dispatch_reqid;
 	Wire__Summary summaries[MESSAGE_SUMMARIES_MAX];
 	Wire__Summary *summary_list[MESSAGE_SUMMARIES_MAX];
 	Wire__Fact facts[MESSAGE_FACTS_MAX];
 	Wire__Fact *fact_list[MESSAGE_FACTS_MAX];
-	Wire__Place place;
+	Wire__Place dispatch;
 	union {
 		Wire__Reserve reserve;
 		Wire__Grant grant;
@@ -65,18 +65,18 @@
 	return to;
 }
 
-static Wire__Place *put_place(scratch_t *s, const message_dispatch_t *from)
+static Wire__Place *put_dispatch(scratch_t *s, const message_dispatch_t *from)
 {
-	wire__place__init(&s->place);
-	s->place.request =
-		put_id(&s->place_reqid, from->request.hi, from->request.lo);
-	s->place.endpoint = from->endpoint;
-	s->place.digest = from->digest;
-	s->place.done = from->done;
-	s->place.status = from->status;
-	s->place.answer.data = (uint8_t *)from->answer;
-	s->place.answer.len = from->answer_size;
-	return &s->place;
+	wire__place__init(&s->dispatch);
+	s->dispatch.request =
+		put_id(&s->dispatch_reqid, from->request.hi, from->request.lo);
+	s->dispatch.endpoint = from->endpoint;
+	s->dispatch.digest = from->digest;
+	s->dispatch.done = from->done;
+	s->dispatch.status = from->status;
+	s->dispatch.answer.data = (uint8_t *)from->answer;
+	s->dispatch.answer.len = from->answer_size;
+	return &s->dispatch;
 }
 
 static void put_reserve(scratch_t *s, Wire__Envelope *e,
@@ -205,7 +205,7 @@
 	to->view = m->witness_set_hash;
 	to->age = m->key_age;
 	to->attempt = m->attempt;
-	to->place = put_place(s, &m->dispatch);
+	to->place = put_dispatch(s, &m->dispatch);
 	e->body_case = WIRE__ENVELOPE__BODY_CLAIM;
 	e->claim = to;
 }
@@ -223,7 +223,7 @@
 	to->sealed = m->sealed;
 	to->attempt = m->attempt;
 	if (m->attempt)
-		to->place = put_place(s, &m->dispatch);
+		to->place = put_dispatch(s, &m->dispatch);
 	e->body_case = WIRE__ENVELOPE__BODY_WITNESS;
 	e->witness = to;
 }
@@ -454,7 +454,7 @@
 	return PIMENTO_OK;
 }
 
-static int get_place(message_dispatch_t *to, const Wire__Place *from)
+static int get_dispatch(message_dispatch_t *to, const Wire__Place *from)
 {
 	memset(to, 0, offsetof(message_dispatch_t, answer));
 	if (!from)
@@ -572,7 +572,7 @@
 	to->witness_set_hash = from->view;
 	to->key_age = from->age;
 	to->attempt = from->attempt;
-	return get_place(&to->dispatch, from->place);
+	return get_dispatch(&to->dispatch, from->place);
 }
 
 static int get_witness(message_witness_t *to, const Wire__Witness *from)
@@ -583,7 +583,7 @@
 	to->result = from->answer;
 	to->sealed = from->sealed;
 	to->attempt = from->attempt;
-	return get_place(&to->dispatch, from->place);
+	return get_dispatch(&to->dispatch, from->place);
 }
 
 static int get_probe(message_probe_t *to, const Wire__Probe *from)
--- a/src/witness.c
+++ b/src/witness.c
@@ -287,14 +287,15 @@
 	return PIMENTO_OK;
 }
 
-static bool set_by_hostlist(const witness_t *witness, uint32_t back,
+static bool set_by_hostlist(const witness_t *witness, uint32_t steps_back,
 			    pimento_key_t key, witness_set_t *set)
 {
 	const witness_hostlist_t *hostlist;
 
-	if (back >= witness->hostlist_count)
+	if (steps_back >= witness->hostlist_count)
 		return false;
-	hostlist = &witness->hostlists[witness->hostlist_count - 1 - back];
+	hostlist =
+		&witness->hostlists[witness->hostlist_count - 1 - steps_back];
 	return idem_key_rendezvous(hostlist->hosts, hostlist->count, key,
 				   set) == 0;
 }
@@ -318,11 +319,12 @@
 	pimento_usec_t since = PIMENTO_NEVER;
 	witness_set_t set;
 
-	for (uint32_t back = 0; set_by_hostlist(witness, back, key, &set);
-	     back++) {
+	for (uint32_t steps_back = 0;
+	     set_by_hostlist(witness, steps_back, key, &set); steps_back++) {
 		if (set.set_hash != set_hash)
 			break;
-		since = witness->hostlists[witness->hostlist_count - 1 - back]
+		since = witness->hostlists[witness->hostlist_count - 1 -
+					   steps_back]
 				.adopted;
 	}
 	return since;
