--- a/src/claim.c
+++ b/src/claim.c
@@ -1,24 +1,25 @@
 /*
- * The entry's side of the claim protocol: one keyed request, from its arrival
- * until its verdict is certain.
+ * The entry's side of the claim protocol: the state machine of one keyed
+ * request, from its arrival until its verdict is certain.
  *
- * A query asks the witnesses what is known. A take asks them to let this
- * dispatch run and nobody else's: a quorum of agreement wins. A seal asks them
- * to bar the attempt for good: a quorum of agreement makes "not run" true of
- * it, now and later, because a quorum for the claim would have had to include
- * a witness of the seal. Agreement never lapses, so replies may come late,
- * twice or in any order; questions are simply sent again, under the same
- * sequence number, until the step's deadline.
+ * A query reads what the witnesses know of the key. A take requests that only
+ * this dispatch may run; it succeeds when a quorum agrees. A seal requests that
+ * the attempt be barred for good; once a quorum agrees, the attempt has not run
+ * and never will, because a quorum for its claim would have to include a witness
+ * that has sealed it. Agreement never expires, so replies may be delayed,
+ * duplicated or reordered; messages are resent with the same sequence number
+ * until the step's deadline.
  *
- * A take that cannot win any more turns into a seal by itself. That withdraws
- * what the take did gain; else two entries that each hold one witness would
- * block the key for everybody.
+ * A take that can no longer reach a quorum turns into a seal. That withdraws the
+ * claim from the witnesses that agreed to it; otherwise two entries that each
+ * hold one witness would block the key for everybody.
  */
 
 #include "claim.h"
 
 #include <string.h>
 
+/* Unanswered messages are resent this often until the step's deadline. */
 #define RESENDS_PER_STEP 8
 
 int claim_init(claim_t *claim, const claim_options_t *options)
@@ -75,9 +76,10 @@
 }
 
 /*
- * The age goes on while the request waits for its grant. A message that
- * stated the age of the key's arrival would pass a witness that restarted in
- * between for one that was there all along.
+ * The age of the key now, since it grows while the request waits for its grant.
+ * If messages stated the age at the request's arrival, a witness that restarted
+ * in between would take the key for one created after its restart and would not
+ * abstain.
  */
 static pimento_usec_t key_age(const claim_t *claim, pimento_usec_t now)
 {
@@ -89,7 +91,10 @@
 	return value == CLAIM_AGE_UNKNOWN ? 0 : value;
 }
 
-/* Asks each witness that has not agreed yet; a full outbox counts as loss. */
+/*
+ * Sends the step's message to each witness that has neither agreed nor refused.
+ * A message that a full outbox drops is resent like one lost on the network.
+ */
 static void send_requests(claim_t *claim, pimento_usec_t now, outbox_t *out)
 {
 	const witness_set_t *set = &claim->options.witnesses;
@@ -191,7 +196,7 @@
 	return -1;
 }
 
-/* Witnesses whose report names this dispatch. */
+/* Returns the number of witnesses that hold the claim of this dispatch. */
 static uint32_t count_holders(const claim_t *claim, pimento_reqid_t request)
 {
 	uint32_t count = 0;
@@ -206,9 +211,9 @@
 }
 
 /*
- * True when the claim of this attempt can neither have won nor win: a quorum
- * has sealed the attempt and holds no claim. It is what an entry leaves behind
- * that died while taking.
+ * True if a claim of this attempt has not won and cannot win: a quorum has sealed
+ * the attempt and holds no claim. Such a claim remains at a witness when an entry
+ * dies during a take.
  */
 static bool sealed_by_quorum(const claim_t *claim, uint32_t attempt)
 {
@@ -228,7 +233,10 @@
 	return pimento_reqid_equal(claim->dispatch.request, request);
 }
 
-/* A claim of others that may have won, if one is reported. */
+/*
+ * Returns the reported claim of another entry that is most likely to have won, or
+ * NULL if none can have won.
+ */
 static const claim_report_t *strongest_rival(const claim_t *claim)
 {
 	const claim_report_t *best = NULL;
@@ -249,7 +257,7 @@
 	return best;
 }
 
-/* True when a rival holds a quorum, or its outcome is known. */
+/* True if another entry's claim holds a quorum or its outcome is known. */
 static bool rival_won(const claim_t *claim)
 {
 	const claim_report_t *report = strongest_rival(claim);
@@ -259,7 +267,7 @@
 					claim->options.witnesses.quorum);
 }
 
-/* Keeps the place of the rival that is likeliest to run. */
+/* Keeps a reported dispatch if it is that of the strongest rival claim. */
 static void record_held(claim_t *claim, const message_dispatch_t *dispatch)
 {
 	const claim_report_t *best = strongest_rival(claim);
@@ -301,14 +309,13 @@
 		record_held(claim, &reply->dispatch);
 }
 
-/* True when a quorum has agreed. */
 static bool quorum_agreed(const claim_t *claim)
 {
 	return count_bits(claim->agreed_mask) >=
 	       claim->options.witnesses.quorum;
 }
 
-/* True when those outside the mask are too few for a quorum. */
+/* True if the witnesses outside the mask are too few for a quorum. */
 static bool quorum_impossible(const claim_t *claim, uint32_t mask)
 {
 	const witness_set_t *set = &claim->options.witnesses;
@@ -325,8 +332,9 @@
 }
 
 /*
- * The attempt is that of the caller, or the next one after the highest sealed.
- * A caller's is never raised: "not run" may have been said of it already.
+ * The attempt is the one that the caller named, or else the one after the highest
+ * sealed attempt. A caller's attempt is never raised: it may already have been
+ * reported as "not run", so dispatching it under another number would be wrong.
  */
 static claim_event_t end_query_free(claim_t *claim, pimento_usec_t now,
 				    outbox_t *out)
@@ -347,9 +355,9 @@
 }
 
 /*
- * A claim at one witness may be what a dead entry left behind; the witnesses
- * that have not answered could show that. They are given until the first
- * resend, for nobody should wait longer for an answer that is there.
+ * A claim at a single witness may be left over from an entry that died, which
+ * the replies still missing could show. They are awaited until the first resend
+ * only, since a caller should not wait longer for an answer that already exists.
  */
 static claim_event_t decide_query(claim_t *claim, pimento_usec_t now,
 				  bool timed_out, outbox_t *out)
@@ -388,9 +396,9 @@
 }
 
 /*
- * A rival that does not hold a quorum may yet withdraw, so that is waited for
- * until the deadline. One that was reported before and could not be resumed is
- * not reported again.
+ * Another entry's claim that holds no quorum may still be withdrawn, so the
+ * result is open until the deadline. A dispatch that was already reported as
+ * held, and that the entry could not resume, is not reported again.
  */
 static claim_event_t evaluate_seal(claim_t *claim, bool timed_out)
 {
@@ -415,8 +423,8 @@
 }
 
 /*
- * The verdict is out as soon as it is certain, but what a take left at the
- * other witnesses is still to be withdrawn.
+ * Returns the event as soon as it is certain. If a take was sent, its claim must
+ * still be withdrawn from the witnesses that have not confirmed the seal.
  */
 static claim_event_t decide_seal(claim_t *claim, pimento_usec_t now,
 				 bool timed_out)
@@ -458,9 +466,9 @@
 }
 
 /*
- * The deadline goes before the reply. An entry that was paused wakes with
- * replies to read that are older than CLAIM_STEP_TIMEOUT_MAX, and the witnesses count
- * on such replies being ignored.
+ * The deadline is checked before the reply is used. When a paused entry resumes,
+ * it may read replies older than CLAIM_STEP_TIMEOUT_MAX, which the witnesses rely
+ * on being ignored.
  */
 claim_event_t claim_receive(claim_t *claim, pimento_usec_t now,
 			    pimento_id_t from, const message_witness_t *reply,
--- a/src/idem_key.c
+++ b/src/idem_key.c
@@ -1,14 +1,14 @@
 /*
- * Idempotency keys and who their witnesses are.
+ * Idempotency keys and the selection of their witnesses.
  *
- * An issued key names its witnesses and their incarnations, so that every host
- * agrees on them without a list or a clock. It is authenticated: otherwise a
+ * An issued key names its witnesses and their incarnations, so that all hosts
+ * agree on them without a host list or a clock. It is authenticated: otherwise a
  * caller could name hosts that know nothing of an earlier claim.
  *
- * A caller's own key gets its witnesses by rendezvous hash over the published
- * entry hosts. Two hosts may hold different lists. The quorum is the smallest q
- * with 2q > n + d, so that quorums of two sets of n still share a host while
- * the sets differ in at most d hosts.
+ * The witnesses of a key that a caller chose are selected by rendezvous hash over
+ * the published entry hosts. Two hosts may have different lists in force. The
+ * quorum is the smallest q with 2q > n + d, so that quorums of two sets of n
+ * hosts still share a host as long as the sets differ in at most d hosts.
  */
 
 #include "claim.h"
@@ -21,8 +21,8 @@
 #define ISSUED_PREFIX "pk1."
 #define ISSUED_PREFIX_LENGTH (sizeof(ISSUED_PREFIX) - 1)
 #define MAC_SIZE 16
-#define PAYLOAD_HEADER_SIZE 18 /* count, quorum, created_ms, nonce */
-#define PAYLOAD_WITNESS_SIZE 16
+#define PAYLOAD_HEADER_SIZE 18 /* fields: count, quorum, created_ms, nonce */
+#define PAYLOAD_WITNESS_SIZE 16 /* fields: host id, incarnation */
 #define PAYLOAD_SIZE_MAX \
 	(PAYLOAD_HEADER_SIZE + PIMENTO_WITNESSES_MAX * PAYLOAD_WITNESS_SIZE)
 #define BASE64_VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
@@ -30,7 +30,7 @@
 #define CLIENT_KEY_WITNESSES 5
 #define CLIENT_KEY_WITNESSES_MIN 3
 #define CLIENT_KEY_HOSTS_DIFFER_MAX \
-	2 /* d: hosts in which two sets may differ */
+	2 /* d: hosts in which the witness sets of two host lists may differ */
 
 #define UUID_LENGTH 36
 
@@ -183,7 +183,7 @@
 	return XXH3_64bits(words, sizeof(words));
 }
 
-/* Puts host into its place among the best; equal scores go by identity. */
+/* Inserts a host in order of descending score, then of ascending id. */
 static void insert_by_score(witness_set_t *set, uint64_t *scores,
 			    pimento_id_t host, uint64_t value)
 {
@@ -237,7 +237,7 @@
 	return -1;
 }
 
-/* The milliseconds of a UUID version 7 (RFC 9562), else -1. */
+/* Returns the time of a UUID version 7 (RFC 9562) in ms since 1970, or -1. */
 static int64_t uuid7_time_ms(const char *text)
 {
 	uint8_t digits[32];
@@ -287,7 +287,7 @@
 	XXH128_hash_t hash = XXH3_128bits_withSeed(text, strlen(text), account);
 	pimento_key_t key = { hash.high64, hash.low64 };
 
-	/* All zero would mean that there is no key. */
+	/* An all-zero key would stand for a request without a key. */
 	if (pimento_key_is_none(key))
 		key.lo = 1;
 	return key;
--- a/src/message.c
+++ b/src/message.c
@@ -1,6 +1,7 @@
 /*
- * The outbox: a ring of messages, each allocated at the size of its kind, for
- * a message_t is as large as its largest member and most are small.
+ * The outbox: a ring buffer of messages. Each is allocated with the size of its
+ * kind, since a message_t is as large as its largest member and most messages
+ * are small.
  */
 
 #include "message.h"
--- a/src/message.h
+++ b/src/message.h
@@ -2,18 +2,18 @@
 #define MESSAGE_H
 
 /*
- * The typed messages that hosts send to one another, and the outbox into which
- * the pure library puts them. wire.c turns them into protobuf and back; nothing
- * else knows the encoding. Times in messages are spans, never points in time,
+ * The typed messages between hosts, and the outbox into which the library, which
+ * does no I/O itself, puts them for the caller to send. Only wire.c knows their
+ * protobuf encoding. Times in messages are durations, never points in time,
  * because two hosts share no clock.
  */
 
 #include "../pimentoshelf.h"
 
-#define MESSAGE_SUMMARIES_MAX 16
-#define MESSAGE_FACTS_MAX 48
-#define MESSAGE_PART_BYTES_MAX 16384
-#define MESSAGE_ANSWER_BYTES_MAX 4096
+#define MESSAGE_SUMMARIES_MAX 16 /* summaries in a digest */
+#define MESSAGE_FACTS_MAX 48 /* facts in a probe or ack */
+#define MESSAGE_PART_BYTES_MAX 16384 /* document bytes in a part */
+#define MESSAGE_ANSWER_BYTES_MAX 4096 /* bytes of an answer kept by witnesses */
 #define MESSAGE_STREAM_MAX 64
 
 typedef enum message_kind {
@@ -35,67 +35,69 @@
 	MESSAGE_KINDS
 } message_kind_t;
 
-/* What an owner knows of one endpoint; travels on every answer of the owner. */
+/* State of one endpoint as its owner sees it; part of every reply of the owner. */
 typedef struct message_summary {
 	pimento_id_t endpoint;
-	uint64_t epoch; /* of the owner's ownership; a newer one is greater */
+	uint64_t epoch; /* ownership epoch of the endpoint; rises */
 	uint32_t running; /* requests in flight */
 	uint32_t limit; /* requests that may be in flight */
-	uint32_t running_tokens; /* tokens still to be made in flight */
-	uint32_t token_limit;
-	uint32_t waiting[PIMENTO_TIERS_MAX]; /* waiting requests by tier */
-	uint32_t wait_ms[PIMENTO_TIERS_MAX]; /* ms until one more is granted */
-	uint32_t waiting_tokens; /* of prompts granted and not yet read */
-	float prefill_rate; /* prompt tokens a second, 0 unknown */
-	float decode_rate; /* tokens a second of one stream, 0 unknown */
-	uint8_t leaving;
+	uint32_t running_tokens; /* tokens that they still have to generate */
+	uint32_t token_limit; /* maximum of running_tokens */
+	uint32_t waiting[PIMENTO_TIERS_MAX]; /* queued requests by tier */
+	/* estimated wait of one more request in ms, by tier */
+	uint32_t wait_ms[PIMENTO_TIERS_MAX];
+	uint32_t waiting_tokens; /* prompt tokens granted but not prefilled */
+	float prefill_rate; /* prompt tokens per second, 0 if unknown */
+	float decode_rate; /* tokens per second of one stream, 0 if unknown */
+	uint8_t leaving; /* 1: the endpoint takes no new requests */
 } message_summary_t;
 
-/* Entry to owner: a place in the waiting line. Never carries a body. */
+/* Entry to owner: requests a place in the wait queue; carries no request body. */
 typedef struct message_reserve {
 	pimento_reqid_t request;
-	uint32_t round; /* counts this request's reservations, from 1 */
+	uint32_t round; /* number of this reservation of the request, from 1 */
 	pimento_id_t endpoint;
 	pimento_id_t account;
 	uint8_t tier; /* 0 is the most urgent */
-	uint8_t hops; /* owners that passed it on so far */
-	pimento_usec_t time_left; /* span until the caller stops caring */
+	uint8_t hops; /* owners that have redirected it so far; see OWNER_HOPS_FINAL */
+	pimento_usec_t time_left; /* time until the caller's deadline */
 	uint32_t prompt_tokens;
-	uint32_t answer_tokens; /* estimate */
-	uint64_t prefix_hash; /* hash of the prompt's beginning, 0 none */
+	uint32_t answer_tokens; /* estimated tokens of the answer */
+	uint64_t prefix_hash; /* hash of the start of the prompt, 0 if none */
 } message_reserve_t;
 
-/* Owner to entry: dispatch now; good for one dispatch, for a short span. */
+/* Owner to entry: permits one dispatch, within the grant's lifetime. */
 typedef struct message_grant {
 	pimento_reqid_t request;
 	uint32_t round;
-	uint64_t epoch;
+	uint64_t epoch; /* ownership epoch in which the grant was made */
 	pimento_usec_t lifetime;
 	message_summary_t summary;
 } message_grant_t;
 
+/* Owner to entry: the request is in the wait queue. */
 typedef struct message_wait {
 	pimento_reqid_t request;
 	uint32_t round;
-	pimento_usec_t expected_wait; /* span until the expected grant */
+	pimento_usec_t expected_wait; /* estimated time until the grant */
 	message_summary_t summary;
 } message_wait_t;
 
-/* Owner to entry: no place; the request was not dispatched by this owner. */
+/* Owner to entry: the reservation is refused; this owner granted no dispatch. */
 typedef struct message_refuse {
 	pimento_reqid_t request;
 	uint32_t round;
 	int32_t reason; /* PIMENTO_EDEADLINE, _EBUSY, _ELEAVING, _ESTALE ... */
 	pimento_usec_t retry_after;
-	pimento_id_t alternative_endpoint; /* endpoint to try instead, 0 none */
+	pimento_id_t alternative_endpoint; /* endpoint to try instead, or 0 */
 	message_summary_t summary;
 } message_refuse_t;
 
 typedef enum release_outcome {
 	RELEASE_UNUSED = 0, /* never dispatched */
-	RELEASE_DONE, /* answered whole */
-	RELEASE_FAILED, /* the endpoint failed it */
-	RELEASE_CANCELLED /* the caller left; cancelled at the endpoint */
+	RELEASE_DONE, /* the answer is complete */
+	RELEASE_FAILED, /* the endpoint failed during the request */
+	RELEASE_CANCELLED /* the caller disconnected; cancelled at the endpoint */
 } release_outcome_t;
 
 /* Entry to owner: the reservation or the slot is no longer needed. */
@@ -106,69 +108,80 @@
 	uint64_t epoch;
 	uint8_t outcome; /* release_outcome_t */
 	uint32_t prompt_tokens;
-	uint32_t answer_tokens; /* made in fact */
-	pimento_usec_t time_to_first_token; /* span from dispatch, 0 unknown */
-	pimento_usec_t
-		decode_time; /* from first to last token; of all if no first */
+	uint32_t answer_tokens; /* tokens generated */
+	pimento_usec_t time_to_first_token; /* from dispatch, 0 if unknown */
+	/*
+	 * Time from the first to the last token; time of the complete answer
+	 * if time_to_first_token is unknown.
+	 */
+	pimento_usec_t decode_time;
 } message_release_t;
 
-/* Entry to owner: the slot is still in use. Missing ones free the slot. */
+/*
+ * Entry to owner: the slot is still in use. The owner frees a slot for which
+ * these messages stop.
+ */
 typedef struct message_progress {
 	pimento_reqid_t request;
 	uint32_t round;
 	pimento_id_t endpoint;
 	uint64_t epoch;
-	uint32_t answer_tokens;
-	pimento_usec_t time_to_first_token;
-	pimento_usec_t decode_time;
+	uint32_t answer_tokens; /* tokens generated so far */
+	pimento_usec_t time_to_first_token; /* as in message_release_t */
+	pimento_usec_t decode_time; /* as in message_release_t */
 } message_progress_t;
 
-/* Owner to all it talks to: what it knows of some of its endpoints. */
+/*
+ * Owner to the hosts that it exchanges messages with: summaries of some of its
+ * endpoints.
+ */
 typedef struct message_digest {
 	uint32_t count;
 	message_summary_t summaries[MESSAGE_SUMMARIES_MAX];
 } message_digest_t;
 
 typedef enum claim_op {
-	CLAIM_QUERY = 1, /* what is known of the key? */
-	CLAIM_TAKE, /* let this attempt dispatch, nobody else */
-	CLAIM_SEAL, /* this attempt and older ones must never dispatch */
-	CLAIM_DONE /* the dispatch ended; keep its outcome */
+	CLAIM_QUERY = 1, /* read what the witness knows of the key */
+	CLAIM_TAKE, /* allow this attempt to dispatch and no other */
+	CLAIM_SEAL, /* bar this attempt and all lower ones from dispatch */
+	CLAIM_DONE /* store the outcome of the dispatch, which has ended */
 } claim_op_t;
 
-/* Where a claimed request runs, and what a repeat needs to resume it. */
+/* Where a claimed request runs, and what a repeated request needs to resume it. */
 typedef struct message_dispatch {
-	pimento_reqid_t request; /* the dispatch's id at the endpoint */
+	pimento_reqid_t request; /* id of the dispatch at the endpoint */
 	pimento_id_t endpoint;
-	uint64_t digest; /* of the body: the same key with another is refused */
-	uint8_t done; /* the outcome below is final */
+	/* hash of the request body; the key is refused with another body */
+	uint64_t digest;
+	uint8_t done; /* the dispatch has ended: status and answer are final */
 	uint16_t status; /* HTTP status of the answer, when done */
-	uint16_t answer_size; /* up to MESSAGE_ANSWER_BYTES_MAX; 0 none kept */
+	uint16_t answer_size; /* bytes of the stored answer, 0 if none */
 	uint8_t answer[MESSAGE_ANSWER_BYTES_MAX];
 } message_dispatch_t;
 
-/* Entry to witness. */
+/* Entry to witness: one step of the claim protocol, see claim.h. */
 typedef struct message_claim {
 	uint8_t op; /* claim_op_t */
 	pimento_key_t key;
-	uint64_t sequence; /* names this question; the reply repeats it */
-	uint64_t incarnation; /* the witness's, as the key names it; 0 any */
-	uint64_t
-		witness_set_hash; /* hash of the witness set, callers' own keys; or 0 */
-	pimento_usec_t key_age; /* of the key since its birth, -1 unknown */
-	uint32_t attempt; /* from 1 */
+	uint64_t sequence; /* of the protocol step; copied to the reply */
+	/* incarnation of the witness that an issued key names; else 0 */
+	uint64_t incarnation;
+	/* hash of the witness set of a key that a caller chose; else 0 */
+	uint64_t witness_set_hash;
+	pimento_usec_t key_age; /* age of the key, -1 if unknown */
+	uint32_t attempt; /* attempt number from 1; 0 in some queries */
 	message_dispatch_t dispatch;
 } message_claim_t;
 
-/* Witness to entry. */
+/* Witness to entry: reply to a message_claim_t. */
 typedef struct message_witness {
 	pimento_key_t key;
-	uint64_t sequence;
-	uint64_t incarnation; /* the witness's own */
+	uint64_t sequence; /* copied from the message_claim_t */
+	uint64_t incarnation; /* incarnation of the witness */
 	int32_t result; /* PIMENTO_OK, _ECLAIMED, _ESEALED, _ESTALE, ... */
-	uint32_t sealed; /* highest sealed attempt, 0 none */
-	uint32_t attempt; /* of the claim held, 0 none */
-	message_dispatch_t dispatch; /* of the claim held */
+	uint32_t sealed; /* highest sealed attempt, 0 if none */
+	uint32_t attempt; /* attempt of the claim held there, 0 if none */
+	message_dispatch_t dispatch; /* dispatch that holds the claim */
 } message_witness_t;
 
 typedef enum host_state {
@@ -179,25 +192,26 @@
 	HOST_DEAD
 } host_state_t;
 
-/* One thing known of one host or endpoint, spread by gossip. */
+/* The state of one host or endpoint, spread by gossip. */
 typedef struct message_fact {
 	pimento_id_t subject;
 	uint64_t incarnation;
-	uint32_t version; /* raised by the subject to refute a suspicion */
+	uint32_t version; /* raised by the subject to refute suspicion */
 	uint8_t state; /* host_state_t */
 	uint8_t is_endpoint; /* 1: the subject is an endpoint, not an entry host */
 } message_fact_t;
 
 /*
- * Probe and ack carry the same: who am I, what do I know. A probe with a
- * target asks the receiver to probe the target on the sender's behalf.
+ * Probes and acks carry the same: the sender's state and the facts that it
+ * knows. A probe with a target asks the receiver to probe the target on the
+ * sender's behalf.
  */
 typedef struct message_probe {
 	uint64_t sequence;
-	uint64_t incarnation; /* of the sender */
-	pimento_id_t target; /* 0: the receiver itself */
-	uint64_t revision; /* configuration in force at the sender */
-	uint64_t hosts_revision; /* host list in force at the sender */
+	uint64_t incarnation; /* incarnation of the sender */
+	pimento_id_t target; /* host to probe; 0: the receiver itself */
+	uint64_t revision; /* configuration revision in force at the sender */
+	uint64_t hosts_revision; /* host list revision in force at the sender */
 	uint32_t count;
 	message_fact_t facts[MESSAGE_FACTS_MAX];
 } message_probe_t;
@@ -207,29 +221,39 @@
 	CONFIG_SYNC_HOSTS
 } config_sync_subject_t;
 
-/* "I hold this revision": answered by a pull from who holds less. */
+/*
+ * Announces which revision of the configuration or of the host list the sender
+ * holds. A host that holds an older one replies with a message_pull_t.
+ */
 typedef struct message_offer {
 	uint8_t subject; /* config_sync_subject_t */
 	uint64_t revision;
-	uint64_t digest; /* hash of the whole text */
-	uint32_t size;
+	uint64_t digest; /* hash of the complete text */
+	uint32_t size; /* bytes of the complete text */
 } message_offer_t;
 
+/*
+ * Requests a part of the text of a configuration or host list, or of the changes
+ * to it.
+ */
 typedef struct message_pull {
-	uint8_t subject;
-	uint64_t revision; /* wanted */
-	uint64_t base; /* revision held, so that only changes travel; 0 none */
-	uint32_t offset;
+	uint8_t subject; /* config_sync_subject_t */
+	uint64_t revision; /* revision of the requested text */
+	/* revision held by the requester, to send changes only; 0 if none */
+	uint64_t base;
+	uint32_t offset; /* offset of the requested part in bytes */
 } message_pull_t;
 
+/* Reply to a message_pull_t: consecutive bytes of the text or of the changes. */
 typedef struct message_part {
-	uint8_t subject;
+	uint8_t subject; /* config_sync_subject_t */
 	uint64_t revision;
-	uint64_t base; /* 0: parts of the whole text; else of the difference */
-	uint64_t digest; /* of the whole text */
-	uint32_t size; /* of all parts together */
-	uint32_t offset;
-	uint32_t length;
+	/* revision that the changes apply to; 0: parts of the complete text */
+	uint64_t base;
+	uint64_t digest; /* hash of the complete text */
+	uint32_t size; /* bytes of all parts together */
+	uint32_t offset; /* offset of this part in bytes */
+	uint32_t length; /* bytes of this part */
 	uint8_t bytes[MESSAGE_PART_BYTES_MAX];
 } message_part_t;
 
@@ -252,37 +276,39 @@
 	} u;
 } message_t;
 
-/*
- * Messages on their way out of the pure library, in order. Bounded: a full
- * outbox refuses, which every protocol here must bear as it bears loss.
- */
 typedef struct outbox_entry {
 	pimento_id_t to;
-	message_t *message; /* of its own allocation, sized to its kind */
+	message_t *message; /* allocated with the size of its kind */
 } outbox_entry_t;
 
+/*
+ * First-in, first-out queue of the messages that the library wants sent. It is
+ * bounded: a full outbox refuses messages, which every protocol here must
+ * tolerate like the loss of a message on the network.
+ */
+
 typedef struct outbox {
 	outbox_entry_t *entries;
-	uint32_t capacity; /* a power of two */
+	uint32_t capacity; /* number of entries, a power of two */
 	uint32_t head;
 	uint32_t count;
-	uint64_t refused; /* messages that found it full */
+	uint64_t refused; /* messages dropped because the outbox was full */
 } outbox_t;
 
-/* Returns PIMENTO_ENOMEM, or 0. capacity is rounded up to a power of two. */
+/* Returns 0 or PIMENTO_ENOMEM. capacity is rounded up to a power of two. */
 int outbox_init(outbox_t *outbox, uint32_t capacity);
 void outbox_finish(outbox_t *outbox);
 
-/* Copies the message. Returns PIMENTO_EFULL or PIMENTO_ENOMEM, or 0. */
+/* Appends a copy of the message. Returns 0, PIMENTO_EFULL or PIMENTO_ENOMEM. */
 int outbox_put(outbox_t *outbox, pimento_id_t to, const message_t *message);
 
-/* Takes the oldest message out; false when there is none. */
+/* Removes the oldest message; false if the outbox is empty. */
 bool outbox_take(outbox_t *outbox, pimento_id_t *to, message_t *message);
 
-/* Bytes of a message_t that its kind uses, for copying no more than that. */
+/* Returns how many leading bytes of a message_t its kind uses. */
 size_t message_size(message_kind_t kind);
 
-/* Lower-case name of the kind, for logs; never NULL. */
+/* Returns the lower-case name of the kind, for logs; never NULL. */
 const char *message_kind_name(message_kind_t kind);
 
 #endif
--- a/src/packet.c
+++ b/src/packet.c
@@ -6,6 +6,7 @@
 
 #define AGE_MS_UNKNOWN UINT32_MAX
 
+/* The structures that a gossip message can point to while it is packed. */
 typedef struct scratch {
 	Peer__Load loads[GOSSIP_LOADS_MAX];
 	Peer__Load *load_pointers[GOSSIP_LOADS_MAX];
@@ -23,7 +24,8 @@
 {
 	if (age < 0 || age / PIMENTO_MSEC + 1 >= AGE_MS_UNKNOWN)
 		return AGE_MS_UNKNOWN;
-	return (uint32_t)(age / PIMENTO_MSEC) + 1; /* never younger */
+	/* Rounded up, so that data never appear fresher than they are. */
+	return (uint32_t)(age / PIMENTO_MSEC) + 1;
 }
 
 static uint64_t truncate_tokens(double tokens)
@@ -108,7 +110,7 @@
 	message->quotas = scratch->quota_pointers;
 }
 
-/* Encodes a packet whose parts live as long as this call. */
+/* Encodes a packet; all that it points to must be valid during the call. */
 static int encode(const Peer__Packet *message, uint8_t *bytes, size_t size)
 {
 	if (peer__packet__get_packed_size(message) > size)
@@ -116,10 +118,10 @@
 	return (int)peer__packet__pack(message, bytes);
 }
 
-/* Reports of endpoints that come before a host's own loads. */
+/* Number of owner reports kept in preference to the sender's own loads. */
 #define OWNER_REPORTS_KEPT_MIN 16
 
-/* Lowers a count of the message's parts, down to min_count, until it fits. */
+/* Shortens one list of the packet, to min_count at least, until the packet fits. */
 static void trim_list(const Peer__Packet *message, size_t size, size_t *count,
 		      size_t min_count)
 {
@@ -129,10 +131,12 @@
 }
 
 /*
- * A host with requests at many endpoints, accounts and engines of its own has
- * more to say than a datagram holds. A note that is not sent at all would make
- * it mute. Loads are the least that can be missed, as owners count what they
- * granted; then reports of other owners' endpoints.
+ * A host with requests at many endpoints, many accounts and many endpoints that
+ * it owns has more to report than a datagram holds. If the gossip message were
+ * not sent for its size, the host would appear unresponsive. After surplus owner
+ * reports, loads are dropped first, as owners count the requests that they
+ * granted anyway; then the reports of other owners' endpoints, which follow the
+ * sender's own; and quotas last.
  */
 static void trim_to_size(Peer__Packet *message, size_t size)
 {
@@ -285,13 +289,13 @@
 	return count < max ? (uint32_t)count : max;
 }
 
-/* Earlier versions do not send an age, which decodes as 0. */
+/* Earlier versions send no age, which decodes as 0 and means unknown. */
 static pimento_usec_t decode_age_ms(uint32_t ms)
 {
 	return ms && ms != AGE_MS_UNKNOWN ? ms * PIMENTO_MSEC : PIMENTO_NEVER;
 }
 
-/* A newer host may use the probe in ways that this one does not know. */
+/* Kinds of probe that a newer version may send are treated as no probe. */
 static gossip_probe_kind_t probe_from_wire(uint32_t number)
 {
 	return number <= GOSSIP_ACK ? (gossip_probe_kind_t)number
@@ -403,7 +407,7 @@
 	};
 }
 
-/* A newer host may tell of findings that this one does not know. */
+/* Outcomes that a newer version may send are treated as no outcome. */
 static latency_outcome_t outcome_from_wire(uint32_t number)
 {
 	return number < LATENCY_OUTCOMES ? (latency_outcome_t)number
@@ -481,7 +485,7 @@
 		packet->kind = PACKET_QUOTA;
 		return copy_quota(&packet->as.quota, message->quota);
 	default:
-		return PIMENTO_EPARSE; /* of a later version, or rubbish */
+		return PIMENTO_EPARSE; /* packet of a newer version, or malformed */
 	}
 }
 
--- a/src/packet.h
+++ b/src/packet.h
@@ -2,15 +2,16 @@
 #define PACKET_H
 
 /*
- * The datagrams between entry hosts, typed. src/peer.proto is their encoding;
- * what comes from the network is bounded before it is copied.
+ * The typed datagrams between entry hosts, which are encoded as in
+ * src/peer.proto. List lengths that are received are limited before the lists
+ * are copied into fixed arrays.
  */
 
 #include "grants.h"
 #include "quota_fleet.h"
 #include "peers.h"
 
-/* Bytes of an encoded packet, below the least MTU in use. */
+/* Maximum size of an encoded packet in bytes, below the smallest MTU in use. */
 #define PACKET_BYTES_MAX 1400
 
 typedef enum packet_kind {
@@ -23,25 +24,25 @@
 } packet_kind_t;
 
 typedef struct packet_slot_reply {
-	uint32_t endpoint;
-	uint64_t ticket;
+	uint32_t endpoint; /* low half of the endpoint's key */
+	uint64_t ticket; /* ticket of the slot request that is answered */
 	bool granted;
-	registry_report_t report;
+	registry_report_t report; /* the owner's report on the endpoint */
 } packet_slot_reply_t;
 
 typedef struct packet_slot_release {
-	uint32_t endpoint;
-	uint32_t address;
-	uint64_t ticket;
-	uint32_t gap_us; /* mean that the request has seen; 0 none */
+	uint32_t endpoint; /* low half of the endpoint's key */
+	uint32_t address; /* address of the host that releases the slot */
+	uint64_t ticket; /* ticket of the slot request; 0: outcome only */
+	uint32_t gap_us; /* mean gap of the stream's events; 0 if unknown */
 	latency_outcome_t outcome;
 } packet_slot_release_t;
 
-/* What a host has in flight at an endpoint, for the endpoint's owner. */
+/* Number of requests that a host has in flight, sent to the endpoint's owner. */
 typedef struct packet_running_report {
-	uint32_t endpoint;
-	uint32_t address;
-	uint32_t running;
+	uint32_t endpoint; /* low half of the endpoint's key */
+	uint32_t address; /* address of the reporting host */
+	uint32_t running; /* that host's requests in flight there */
 } packet_running_report_t;
 
 typedef struct packet {
@@ -56,9 +57,12 @@
 	} as;
 } packet_t;
 
-/* Returns the bytes written, or a negative error. */
+/*
+ * Encodes a packet. Returns the number of bytes written, PIMENTO_EINVAL for an
+ * unknown kind, or PIMENTO_ETOOBIG. Lists of a gossip message are shortened to fit.
+ */
 int packet_pack(const packet_t *packet, uint8_t *bytes, size_t size);
-/* Returns 0 or PIMENTO_EPARSE. */
+/* Decodes a packet. Returns 0 or PIMENTO_EPARSE. */
 int packet_unpack(packet_t *packet, const uint8_t *bytes, size_t length);
 
 #endif
--- a/src/peer.pb-c.h
+++ b/src/peer.pb-c.h
@@ -36,19 +36,22 @@
 
 /* --- messages --- */
 
+/*
+ * The sender's own load at one endpoint.
+ */
 struct  Peer__Load
 {
   ProtobufCMessage base;
   /*
-   * hash of its id
+   * low half of the hash of the endpoint's id
    */
   uint32_t endpoint;
   /*
-   * requests in flight there from the sender
+   * the sender's requests in flight there
    */
   uint32_t running;
   /*
-   * tokens of their prompts that are not answered yet
+   * prompt tokens of those without an answer yet
    */
   uint32_t reading;
 };
@@ -58,17 +61,17 @@
 
 
 /*
- * What the owner of an account reports of it.
+ * The owner's report on the quota of a client account.
  */
 struct  Peer__Quota
 {
   ProtobufCMessage base;
   /*
-   * hash of its name
+   * low half of the hash of the account's name
    */
   uint32_t account;
   /*
-   * tokens in its bucket
+   * tokens in the account's token bucket
    */
   uint64_t level;
   /*
@@ -81,29 +84,35 @@
     , 0, 0, 0 }
 
 
+/*
+ * The owner's report on an endpoint; other hosts pass it on.
+ */
 struct  Peer__Owned
 {
   ProtobufCMessage base;
   uint32_t endpoint;
   /*
-   * by all hosts, as its owner counts
+   * requests of all hosts in flight, as the owner counts
    */
   uint32_t running;
+  /*
+   * requests in the endpoint's wait queue
+   */
   uint32_t waiting;
   /*
-   * between events of a stream there; 0 unknown
+   * between events of a stream there; 0 if unknown
    */
   uint32_t gap_us;
   /*
-   * gets no new work for so long
+   * time until the endpoint gets new requests again
    */
   uint32_t ejected_ms;
   /*
-   * was not reached, and has not answered since
+   * last connection failed, and no answer since
    */
   protobuf_c_boolean doubtful;
   /*
-   * since the owner reported it; the owner may be another
+   * since the owner, which may not be the sender, reported it
    */
   uint32_t age_ms;
 };
@@ -113,11 +122,14 @@
 
 
 /*
- * What is known of a host; see src/member.h.
+ * The state of a host in the membership protocol; see src/membership.h.
  */
 struct  Peer__Fact
 {
   ProtobufCMessage base;
+  /*
+   * address of the host that the fact is about
+   */
   uint32_t address;
   uint64_t incarnation;
   uint32_t version;
@@ -132,14 +144,14 @@
 
 
 /*
- * A host that reads the platform's store, with success.
+ * A host that polls the platform's store successfully.
  */
 struct  Peer__Reader
 {
   ProtobufCMessage base;
   uint32_t address;
   /*
-   * since it said so
+   * since that host last reported it
    */
   uint32_t age_ms;
 };
@@ -148,28 +160,31 @@
     , 0, 0 }
 
 
+/*
+ * A gossip message.
+ */
 struct  Peer__Note
 {
   ProtobufCMessage base;
   /*
-   * IPv4, host byte order
+   * IPv4 address of the sender, host byte order
    */
   uint32_t address;
   uint64_t incarnation;
   /*
-   * the sender's clock, to be echoed
+   * the sender's clock, which the receiver echoes
    */
   uint64_t stamp;
   /*
-   * the receiver's stamp that came last
+   * last stamp received from the receiver; 0 if none
    */
   uint64_t echo;
   /*
-   * age of the sender's configuration copy
+   * age of the sender's configuration replica
    */
   uint32_t fresh_age_ms;
   /*
-   * revision of the configuration copy
+   * revision of the sender's configuration replica
    */
   uint64_t revision;
   size_t n_loads;
@@ -177,21 +192,24 @@
   size_t n_owned;
   Peer__Owned **owned;
   /*
-   * age of the sender's endpoints copy
+   * age of the sender's endpoints replica
    */
   uint32_t endpoints_age_ms;
+  /*
+   * revision of the sender's endpoints replica
+   */
   uint64_t endpoints_revision;
   /*
-   * The membership protocol: 0 none, 1 probe, 2 ack.
+   * Role in the membership protocol: 0 none, 1 probe, 2 ack.
    */
   uint32_t probe;
   uint64_t sequence;
   /*
-   * to be probed on the sender's behalf; 0 none
+   * host to probe on the sender's behalf; 0 if none
    */
   uint32_t target;
   /*
-   * the sender did not stand still lately
+   * the sender's process was not paused recently
    */
   protobuf_c_boolean settled;
   size_t n_facts;
@@ -201,7 +219,7 @@
   size_t n_quotas;
   Peer__Quota **quotas;
   /*
-   * the receiver is to answer with a note of its own
+   * the receiver must reply with a gossip message
    */
   protobuf_c_boolean pull;
 };
@@ -211,16 +229,19 @@
 
 
 /*
- * What a host has in flight at an endpoint, for the endpoint's owner.
+ * Number of requests that a host has in flight, sent to the endpoint's owner.
  */
 struct  Peer__Report
 {
   ProtobufCMessage base;
   uint32_t endpoint;
   /*
-   * of the sender
+   * address of the sender
    */
   uint32_t address;
+  /*
+   * the sender's requests in flight there
+   */
   uint32_t running;
 };
 #define PEER__REPORT__INIT \
@@ -228,6 +249,9 @@
     , 0, 0, 0 }
 
 
+/*
+ * One record of a replicated collection.
+ */
 struct  Peer__Record
 {
   ProtobufCMessage base;
@@ -236,6 +260,9 @@
    * zlib-compressed if length is not 0
    */
   ProtobufCBinaryData value;
+  /*
+   * revision of the record's last change
+   */
   uint64_t revision;
   /*
    * uncompressed length; 0: value is not compressed
@@ -261,7 +288,7 @@
   size_t n_records;
   Peer__Record **records;
   /*
-   * holds only later changes; 0: holds all records
+   * only changes after this revision; 0: all records
    */
   uint64_t after;
 };
@@ -271,33 +298,42 @@
 
 
 /*
- * Asks the owner of an endpoint for a place there.
+ * Slot request to the owner of an endpoint.
  */
 struct  Peer__Ask
 {
   ProtobufCMessage base;
   uint32_t endpoint;
   /*
-   * of the sender
+   * address of the sender
    */
   uint32_t address;
+  /*
+   * identifies the slot request; chosen by the sender
+   */
   uint64_t ticket;
   /*
-   * less is more urgent
+   * lower is more urgent
    */
   uint64_t rank;
+  /*
+   * the request already misses its objective
+   */
   protobuf_c_boolean late;
   /*
-   * only to be counted; no answer is wanted
+   * the request is dispatched anyway: count it, send no reply
    */
   protobuf_c_boolean sure;
+  /*
+   * how long the request may wait in the queue
+   */
   uint32_t wait_ms;
   /*
-   * of one that comes now; below 0: behind it
+   * Head start in the queue over a request that arrives now; below 0: behind it.
    */
   int32_t ahead_ms;
   /*
-   * becomes late then; 0: never, or is late
+   * Time until it misses its objective; 0: never, or it already does.
    */
   uint32_t late_in_ms;
 };
@@ -307,26 +343,36 @@
 
 
 /*
- * The owner's answer: at once, and again when a place is granted later.
+ * The owner's reply to a slot request: at once, and again when a slot is granted
+ * later.
  */
 struct  Peer__Reply
 {
   ProtobufCMessage base;
   uint32_t endpoint;
+  /*
+   * ticket of the slot request
+   */
   uint64_t ticket;
   protobuf_c_boolean granted;
+  /*
+   * requests of all hosts in flight, as the owner counts
+   */
   uint32_t running;
+  /*
+   * requests in the endpoint's wait queue
+   */
   uint32_t waiting;
   /*
-   * between events of a stream there; 0 unknown
+   * between events of a stream there; 0 if unknown
    */
   uint32_t gap_us;
   /*
-   * gets no new work for so long
+   * time until the endpoint gets new requests again
    */
   uint32_t ejected_ms;
   /*
-   * was not reached, and has not answered since
+   * last connection failed, and no answer since
    */
   protobuf_c_boolean doubtful;
 };
@@ -335,21 +381,27 @@
     , 0, 0, 0, 0, 0, 0, 0, 0 }
 
 
+/*
+ * Releases a slot and reports the outcome of its request to the owner.
+ */
 struct  Peer__Release
 {
   ProtobufCMessage base;
   uint32_t endpoint;
+  /*
+   * address of the sender
+   */
   uint32_t address;
   /*
-   * 0: no place is given back, only news are told
+   * ticket of the slot request; 0: only reports an outcome
    */
   uint64_t ticket;
   /*
-   * mean that the request has seen; 0 none
+   * mean gap of the request's stream events; 0 if unknown
    */
   uint32_t gap_us;
   /*
-   * pace_finding_t; unknown ones are taken as none
+   * latency_outcome_t; unknown values count as none
    */
   uint32_t finding;
 };
@@ -359,8 +411,8 @@
 
 
 /*
- * Asks the owner of an account whether a request is within its quota; its
- * answer; and that an admitted request has not run.
+ * Quota check of a request at the account's owner, the owner's reply, and the
+ * refund for an admitted request that has not run.
  */
 struct  Peer__QuotaMessage
 {
@@ -370,21 +422,36 @@
    */
   uint32_t kind;
   /*
-   * of the sender
+   * address of the sender
    */
   uint32_t address;
   uint32_t account;
+  /*
+   * identifies the quota check; chosen by its sender
+   */
   uint64_t ticket;
+  /*
+   * tokens that the request needs, or that are refunded
+   */
   uint64_t tokens;
   uint32_t tier;
   /*
-   * the limit, and the configuration that states it
+   * the account's limit: tokens per second
    */
   uint64_t per_second;
+  /*
+   * the account's limit: size of the token bucket
+   */
   uint64_t burst;
+  /*
+   * version of the configuration that sets the limit
+   */
   uint64_t version;
   protobuf_c_boolean admitted;
   uint32_t retry_after_ms;
+  /*
+   * tokens in the account's token bucket
+   */
   uint64_t level;
 };
 #define PEER__QUOTA_MESSAGE__INIT \
@@ -404,7 +471,7 @@
 } Peer__Packet__ContentCase;
 
 /*
- * One datagram.
+ * The content of one datagram.
  */
 struct  Peer__Packet
 {
--- a/src/wire.c
+++ b/src/wire.c
@@ -1,8 +1,8 @@
 /*
  * Converts between the typed messages and their protobuf encoding. Encoding
- * builds the generated structures on the stack, pointing into the message;
- * decoding copies out of what protobuf-c allocated and frees it at once. So no
- * protobuf pointer ever leaves this file.
+ * builds the generated structures on the stack, with pointers into the message;
+ * decoding copies from what protobuf-c allocated and frees that at once. So no
+ * pointer to a protobuf structure leaves this file.
  */
 
 #include "wire.h"
@@ -10,7 +10,7 @@
 
 #include <string.h>
 
-/* Everything an envelope can point to while it is packed. */
+/* The structures that an envelope can point to while it is packed. */
 typedef struct scratch {
 	Wire__Reqid reqid;
 	Wire__Reqid dispatch_reqid;
@@ -300,7 +300,7 @@
 	e->part = to;
 }
 
-/* False for a message whose counts would read beyond its arrays. */
+/* False if encoding the message would read past the end of one of its arrays. */
 static bool counts_in_bounds(const message_t *m)
 {
 	switch (m->kind) {
@@ -447,7 +447,7 @@
 	for (size_t i = 0; i < from->n_wait; i++)
 		to->wait_ms[i] = from->wait[i];
 	to->waiting_tokens = from->waiting_tokens;
-	/* A rate that is no number would spoil every estimate it enters. */
+	/* Negative and NaN rates become 0: they would corrupt every estimate. */
 	to->prefill_rate = from->prefill_rate >= 0 ? from->prefill_rate : 0;
 	to->decode_rate = from->decode_rate >= 0 ? from->decode_rate : 0;
 	to->leaving = from->leaving;
@@ -472,7 +472,7 @@
 	return PIMENTO_OK;
 }
 
-/* Spans come from another host: one below zero would run a clock backwards. */
+/* Another host may send a negative span, which would put a deadline in the past. */
 static pimento_usec_t clamp_duration(int64_t span)
 {
 	return span < 0 ? 0 : span;
--- a/src/witness.c
+++ b/src/witness.c
@@ -1,19 +1,19 @@
 /*
- * What this process remembers of idempotency keys: bounded memory, gone with
- * the process.
+ * The witness's table of idempotency keys: bounded, in memory only, and lost
+ * when the process ends.
  *
- * For each key there are two facts, and both only ever narrow what can happen.
- * The claim names the one dispatch that may run; it is never given to another
- * unless its own claimant, which has not dispatched, takes it back. The highest
- * sealed attempt bars this attempt and older ones from claiming. Two quorums
- * share a witness, so two dispatches cannot both hold one, and a seal and an
- * older claim cannot both be granted by one.
+ * A record holds two facts about a key, each of which only restricts what may
+ * happen later. The claim names the one dispatch that may run; it passes to
+ * another dispatch only after its own entry, which has not dispatched, withdraws
+ * it. The highest sealed attempt bars this attempt and all lower ones from
+ * claiming. Any two quorums share a witness, so two dispatches cannot both have a
+ * quorum, nor can a seal and a claim that it bars.
  *
- * That rests on the witness's memory, so it abstains (PIMENTO_ESTALE) from
- * every key that may have been claimed before it could know: one issued to
- * another incarnation, or, for callers' own keys, one that may be older than
- * this process or than the host list by which it is a witness. A live record is
- * never evicted: a full table refuses.
+ * This requires that the witness has forgotten nothing. It therefore abstains
+ * (PIMENTO_ESTALE) from every key that may have been claimed without its
+ * knowledge: an issued key that names another incarnation, and a key chosen by a
+ * caller that may be older than this process or than the host list that made it
+ * a witness. An unexpired record is never evicted: a full table refuses new keys.
  */
 
 #include "claim.h"
@@ -22,13 +22,13 @@
 #include <string.h>
 
 /*
- * Claims leave this share of the table to seals. Otherwise a full table could
- * not even record that a refused request has not run, and each refusal would
- * have to say "may have run".
+ * One record in this many is reserved for seals. Otherwise a full table could not
+ * record that a refused request has not run, and each refusal would have to be
+ * reported as "may have run".
  */
 #define SEAL_RESERVE_DIVISOR 8
 
-/* Answers kept may use this much a key of the capacity, taken together. */
+/* Memory limit of all stored answers together, in bytes per key of capacity. */
 #define ANSWER_BYTES_PER_KEY 512
 
 struct witness_record {
@@ -38,15 +38,15 @@
 	pimento_key_t key;
 	pimento_usec_t changed_at;
 	uint32_t sealed;
-	uint32_t attempt; /* of the claim, 0 none */
-	uint64_t sequence; /* of the message that named the place */
+	uint32_t attempt; /* attempt that claimed the key, 0 if unclaimed */
+	uint64_t sequence; /* sequence of the message that set the dispatch */
 	pimento_reqid_t request;
 	pimento_id_t endpoint;
 	uint64_t digest;
 	uint16_t status;
 	uint16_t answer_size;
 	bool done;
-	uint8_t *answer; /* of its own: most records keep none */
+	uint8_t *answer; /* allocated separately, as most records have none */
 };
 
 int witness_init(witness_t *witness, const witness_options_t *options)
@@ -131,8 +131,8 @@
 }
 
 /*
- * How much a stated age can be wrong: by the difference of two clocks, and by
- * the time that a message was on its way, for as long as its reply counts.
+ * Maximum error of the key age stated in a message: the skew of two hosts' clocks
+ * plus the time that the message was under way, as later replies are ignored.
  */
 static pimento_usec_t age_error_max(const witness_t *witness)
 {
@@ -140,9 +140,9 @@
 }
 
 /*
- * A record outlives the last moment at which its key is accepted. Without the
- * margin, an entry whose clock is behind would still get a key accepted that
- * this witness has just forgotten, and it would run twice.
+ * Records outlive the last moment at which their key is accepted. Without the
+ * margin, an entry whose clock is behind could get a key accepted whose record
+ * this witness has just removed, and the request would run twice.
  */
 static pimento_usec_t record_lifetime(const witness_t *witness)
 {
@@ -150,8 +150,8 @@
 }
 
 /*
- * All records live equally long, so the list by last change is the list by
- * expiry: each record is looked at once when it expires, and never before.
+ * All records have the same lifetime, so the list in order of last change is also
+ * in order of expiry, and the scan stops at the first unexpired record.
  */
 void witness_tick(witness_t *witness, pimento_usec_t now)
 {
@@ -224,7 +224,7 @@
 	record = find_or_add(witness, now, msg->key, claim_capacity(witness));
 	if (!record)
 		return PIMENTO_EFULL;
-	/* A late copy must not put back the endpoint of an earlier message. */
+	/* A delayed duplicate must not restore the endpoint of an older take. */
 	if (!record->attempt || msg->sequence > record->sequence)
 		set_claim(record, msg);
 	return PIMENTO_OK;
@@ -237,7 +237,7 @@
 
 	if (record && record->attempt && !holds(record, msg->dispatch.request))
 		return PIMENTO_ECLAIMED;
-	/* Done: a late copy of a seal must not free what has run. */
+	/* A delayed duplicate of a seal must not free a key whose dispatch ran. */
 	if (record && record->done)
 		return PIMENTO_ECLAIMED;
 	record = find_or_add(witness, now, msg->key, witness->options.capacity);
@@ -267,8 +267,9 @@
 }
 
 /*
- * The outcome comes from the dispatch that won, so it also stands at a witness
- * that the claim never reached or that holds a loser's.
+ * Only the dispatch that won reports an outcome, so it is also recorded by a
+ * witness that never received its claim or that holds the claim of a dispatch
+ * that lost.
  */
 static int apply_done(witness_t *witness, pimento_usec_t now,
 		      const message_claim_t *msg)
@@ -287,6 +288,10 @@
 	return PIMENTO_OK;
 }
 
+/*
+ * The witness set of a key by one of the host lists kept here: steps_back is 0
+ * for the newest. False if there is no such list or it has too few hosts.
+ */
 static bool set_by_hostlist(const witness_t *witness, uint32_t steps_back,
 			    pimento_key_t key, witness_set_t *set)
 {
@@ -310,8 +315,8 @@
 }
 
 /*
- * Since when this process has been a witness in just this set. A change of the
- * list that leaves the key's witnesses as they were changes nothing for it.
+ * Returns since when the lists in force have selected this witness set for the
+ * key without a break. A new list that selects the same set does not reset it.
  */
 static pimento_usec_t in_set_since(const witness_t *witness, pimento_key_t key,
 				   uint64_t set_hash)
@@ -331,10 +336,11 @@
 }
 
 /*
- * Callers' own keys. Under another list this host may stand beside witnesses
- * that know nothing of a claim, or may itself know nothing: it would agree to
- * a second dispatch. So it speaks only in the set that it believes in, and only
- * for keys that cannot have been claimed before it did.
+ * Checks a key that a caller chose. If the entry used another host list, this
+ * host or other witnesses in the entry's set may not know of an earlier claim,
+ * and they would agree to a second dispatch. So the witness answers only for the
+ * set that its own current list selects, and only for keys that cannot have been
+ * claimed before that set came into force here.
  */
 static int check_witness_set(const witness_t *witness, pimento_usec_t now,
 			     const message_claim_t *msg)
@@ -354,7 +360,7 @@
 							     : PIMENTO_ESTALE;
 }
 
-/* Whether this witness may speak for the key at all. */
+/* Returns PIMENTO_OK if this witness may answer for the key, else why not. */
 static int check_eligible(const witness_t *witness, pimento_usec_t now,
 			  const message_claim_t *msg)
 {
@@ -392,7 +398,7 @@
 	}
 }
 
-/* The claimant knows its own answer: only others are sent it. */
+/* The stored answer is left out of replies to the entry that reported it. */
 static void fill_reply(const witness_record_t *record,
 		       const message_claim_t *msg, message_witness_t *reply)
 {
@@ -414,8 +420,9 @@
 }
 
 /*
- * A witness that abstains still tells of a claim that it holds: a repeat made
- * under a newer host list can then resume, though it could never dispatch.
+ * A witness that abstains still reports a claim that it holds: a repeated request
+ * under a newer host list can then resume the dispatch, though it could never
+ * dispatch anew.
  */
 void witness_receive(witness_t *witness, pimento_usec_t now,
 		     const message_claim_t *msg, message_witness_t *reply)
--- a/test/fuzz_idem_key.c
+++ b/test/fuzz_idem_key.c
@@ -1,7 +1,7 @@
 /*
- * Idempotency keys, as a caller may send anything in that header. No text but
- * an issued one may pass for an issued one; an issued one is read back as it
- * was, whatever hosts it names.
+ * Fuzzes the parser of idempotency keys, since a caller can send any text in that
+ * header. A text that was not issued must never be accepted as an issued key, and
+ * an issued key must parse to the witnesses and the time that it was issued with.
  */
 
 #include "claim.h"
--- a/test/fuzz_packet.c
+++ b/test/fuzz_packet.c
@@ -1,6 +1,7 @@
 /*
- * Datagrams of peers, and the events of streams: whatever bytes come, tables
- * stay within their bounds and what was read can be written again.
+ * Fuzzes the decoder of peers' datagrams and the parser of server-sent events.
+ * No input may overrun a buffer, and every decoded packet must encode again. The
+ * lowest bit of the first input byte selects which of the two is run.
  */
 
 #include "sse.h"
--- a/test/fuzz_wire.c
+++ b/test/fuzz_wire.c
@@ -1,9 +1,11 @@
 /*
- * Frames of peers, as libFuzzer makes them up. A frame that is taken must be
- * written again and read back the same, or two hosts would see two messages.
+ * Fuzzes the decoder of peers' frames. An accepted payload must encode to a frame
+ * that decodes and encodes to the same bytes; otherwise two hosts could read one
+ * message differently.
  *
- * The fuzzer starts from one frame of each kind, written into the corpus
- * folder that is its first argument: from nothing it takes hours to find them.
+ * The initial corpus is one frame of each message kind, written into the corpus
+ * directory that is the first argument: without it, libFuzzer needs hours to find
+ * valid frames.
  */
 
 #include "wire.h"
@@ -15,7 +17,7 @@
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 int LLVMFuzzerInitialize(int *argc, char ***argv);
 
-/* Members that are counts or enumerations get values that are in range. */
+/* Fills in a message with counts and enumerations that are in range. */
 static void make_message(message_t *message, message_kind_t kind)
 {
 	memset(message, 1, sizeof(*message));
--- a/test/test_claim.c
+++ b/test/test_claim.c
@@ -1,6 +1,8 @@
 /*
- * The claim protocol in tables: each row is a short scenario of two entries, E and
- * F, and the witnesses of one key. Every letter pair is one step.
+ * Table-driven tests of the claim protocol and of idempotency keys. A scenario
+ * has up to three entries and the three witnesses of one key. Each of its steps
+ * is a letter for the action, see sim_step(), and the number of the entry or
+ * witness that it concerns.
  */
 
 #include "claim.h"
@@ -17,12 +19,12 @@
 
 typedef struct sim {
 	witness_t witnesses[WITNESSES];
-	uint32_t
-		reachable_mask; /* bit per witness: messages get there and back */
+	uint32_t reachable_mask; /* bit per witness: messages are delivered */
 	claim_t claims[ENTRIES];
 	claim_event_t events[ENTRIES];
 	outbox_t out;
-	message_t delayed[WITNESSES]; /* held back by the network */
+	message_t delayed
+		[WITNESSES]; /* last undelivered message to each witness */
 	pimento_usec_t now;
 } sim_t;
 
@@ -114,7 +116,7 @@
 	}
 }
 
-/* Lets the time of one step pass for all entries. */
+/* Advances the clock until every pending protocol step has ended. */
 static void sim_wait_step(sim_t *sim)
 {
 	for (int i = 0; i < 24; i++) {
@@ -141,54 +143,54 @@
 	return dispatch;
 }
 
-/* One step of a scenario: an action and the entry or witness it is of. */
+/* Runs one step of a scenario: an action of entry n or on witness n. */
 static void sim_step(sim_t *sim, char action, int n)
 {
 	message_dispatch_t dispatch = dispatch_of(n);
 
 	switch (action) {
-	case 'q':
+	case 'q': /* the entry queries the witnesses */
 		sim->claims[n].options.key_age = sim->now;
 		claim_start(&sim->claims[n], sim->now, &sim->out);
 		break;
-	case 't':
+	case 't': /* the entry takes the claim */
 		claim_take(&sim->claims[n], sim->now, &dispatch, &sim->out);
 		break;
-	case 's':
+	case 's': /* the entry seals its attempt */
 		claim_seal(&sim->claims[n], sim->now, &sim->out);
 		break;
-	case 'd':
+	case 'd': /* the dispatch completes */
 		claim_complete(&sim->claims[n], sim->now, &dispatch, &sim->out);
 		break;
-	case 'c': /* the link is cut, later messages are delayed */
+	case 'c': /* the witness becomes unreachable: messages are held back */
 		sim->reachable_mask &= ~(1U << n);
 		return;
-	case 'm': /* the link is mended */
+	case 'm': /* the witness becomes reachable again */
 		sim->reachable_mask |= 1U << n;
 		return;
-	case 'l': /* the message delayed last arrives late */
+	case 'l': /* the last message held back is delivered */
 		sim_deliver(sim, n, &sim->delayed[n]);
 		break;
-	case 'r': /* restart without memory */
+	case 'r': /* the witness restarts with an empty table */
 		witness_finish(&sim->witnesses[n]);
 		sim_start_witness(sim, n, 900);
 		return;
-	case 'b': /* another body */
+	case 'b': /* the entry's request has another body */
 		sim_init_entry(sim, n, 0, 6);
 		return;
-	case 'x': /* the entry dies */
+	case 'x': /* the entry's process dies */
 		memset(&sim->claims[n], 0, sizeof(sim->claims[n]));
 		return;
-	case 'n': /* the caller says: second attempt */
+	case 'n': /* the caller names attempt 2 */
 		sim_init_entry(sim, n, 2, 5);
 		return;
-	case 'f': /* the caller says: first attempt */
+	case 'f': /* the caller names attempt 1 */
 		sim_init_entry(sim, n, 1, 5);
 		return;
 	case 'o': /* the retention passes */
 		sim->now += 2 * RETENTION;
 		return;
-	case 'w':
+	case 'w': /* all pending protocol steps end */
 		sim_wait_step(sim);
 		return;
 	default:
@@ -202,65 +204,73 @@
 	const char *steps;
 	claim_event_t want[ENTRIES];
 } scenarios[] = {
-	{ "alone", "q0 t0", { CLAIM_WON } },
-	{ "alone, one witness gone", "c2 q0 t0", { CLAIM_WON } },
-	{ "too few witnesses", "c1 c2 q0 w0", { CLAIM_NO_QUORUM } },
-	{ "repeat finds the claim", "q0 t0 q1", { CLAIM_WON, CLAIM_HELD } },
-	{ "both query first", "q0 q1 t0 t1", { CLAIM_WON, CLAIM_HELD } },
-	{ "done is kept", "q0 t0 d0 q1", { CLAIM_WON, CLAIM_HELD } },
-	{ "sealed, tried again", "q0 s0 q1 t1", { CLAIM_NOT_RUN, CLAIM_WON } },
-	{ "sealed by another",
+	{ "one entry", "q0 t0", { CLAIM_WON } },
+	{ "one entry, one witness unreachable", "c2 q0 t0", { CLAIM_WON } },
+	{ "too few witnesses reachable", "c1 c2 q0 w0", { CLAIM_NO_QUORUM } },
+	{ "a repeated request finds the claim",
+	  "q0 t0 q1",
+	  { CLAIM_WON, CLAIM_HELD } },
+	{ "both entries query before either takes",
+	  "q0 q1 t0 t1",
+	  { CLAIM_WON, CLAIM_HELD } },
+	{ "a completed dispatch still holds the key",
+	  "q0 t0 d0 q1",
+	  { CLAIM_WON, CLAIM_HELD } },
+	{ "a new attempt after a seal",
+	  "q0 s0 q1 t1",
+	  { CLAIM_NOT_RUN, CLAIM_WON } },
+	{ "sealed by another entry",
 	  "q0 q1 s1 t0",
 	  { CLAIM_NOT_RUN, CLAIM_NOT_RUN } },
 	{ "no seal without a quorum",
 	  "q0 c1 c2 s0 w0",
 	  { CLAIM_MAY_HAVE_RUN } },
-	{ "a take that comes after the seal",
+	{ "a take delivered after the seal",
 	  "q0 c0 t0 s0 m0 l0 q1 t1",
 	  { CLAIM_NOT_RUN, CLAIM_WON } },
-	{ "won but never dispatched",
+	{ "claim won but never dispatched",
 	  "q0 t0 s0 q1 t1",
 	  { CLAIM_NOT_RUN, CLAIM_WON } },
-	{ "each holds one, both withdraw",
+	{ "each entry holds one witness, both withdraw",
 	  "q0 q1 c2 c1 t0 m1 c0 t1 m0 w0",
 	  { CLAIM_NOT_RUN, CLAIM_NOT_RUN } },
-	{ "a forgetful witness never counts",
+	{ "a witness restarted without its table is not counted",
 	  "q0 c2 t0 r1 m2 q1 w0",
 	  { CLAIM_WON, CLAIM_HELD } },
-	{ "two forgetful witnesses: closed",
+	{ "two witnesses restarted: no second dispatch",
 	  "q0 t0 r1 r2 q1 w0",
 	  { CLAIM_WON, CLAIM_HELD } },
-	{ "a witness that missed the seal is told again",
+	{ "a seal is resent to a witness that missed it",
 	  "q0 t0 c0 s0 m0 w0 c1 q1 t1",
 	  { CLAIM_NOT_RUN, CLAIM_WON } },
-	{ "another body, running",
+	{ "another body while the first one runs",
 	  "b1 q0 t0 q1",
 	  { CLAIM_WON, CLAIM_MISMATCH } },
-	{ "a caller's attempt is not raised",
+	{ "an attempt named by the caller is not raised",
 	  "f1 q0 s0 q1",
 	  { CLAIM_NOT_RUN, CLAIM_NOT_RUN } },
-	{ "a caller's next attempt",
+	{ "the caller names the next attempt",
 	  "f0 q0 s0 n1 q1 t1",
 	  { CLAIM_NOT_RUN, CLAIM_WON } },
-	{ "an old attempt after a newer one ran",
+	{ "a lower attempt after a higher one was dispatched",
 	  "n0 q0 t0 f1 q1",
 	  { CLAIM_WON, CLAIM_HELD } },
-	{ "cannot be resumed, has won",
+	{ "a held claim that has won cannot be sealed",
 	  "q0 t0 q1 s1 w0",
 	  { CLAIM_WON, CLAIM_MAY_HAVE_RUN } },
-	{ "cannot be resumed, never won",
+	{ "a held claim that never won is sealed",
 	  "q0 c1 c2 t0 x0 m1 m2 q1 w0 s1 w0 q2 t2",
 	  { CLAIM_FREE, CLAIM_NOT_RUN, CLAIM_WON } },
-	{ "a replayed take after all is over",
+	{ "a delayed take after the attempt was sealed",
 	  "q0 c2 t0 s0 m2 l2 q1 t1",
 	  { CLAIM_NOT_RUN, CLAIM_WON } },
-	{ "another endpoint before the dispatch",
+	{ "the endpoint is changed before the dispatch",
 	  "q0 t0 t0 q1",
 	  { CLAIM_WON, CLAIM_HELD } },
-	{ "older than the retention",
+	{ "a key older than the retention",
 	  "q0 t0 o0 q1",
 	  { CLAIM_WON, CLAIM_EXPIRED } },
-	{ "three forgetful witnesses: closed",
+	{ "three witnesses restarted: no quorum",
 	  "q0 t0 r0 r1 r2 q1 w0",
 	  { CLAIM_WON, CLAIM_NO_QUORUM } },
 };
@@ -283,33 +293,40 @@
 END_TEST
 
 /*
- * Callers' own keys: five witnesses speak for the key, or abstain because it
- * may be older than their list, their process or their memory. The row gives
- * when the witness started, when it adopted the list, the key's age, all in
- * seconds before or after a time late in its life, and its answer to a take.
+ * Keys that callers chose: a witness must abstain from a key that may be older
+ * than its host list or its process, because it could have missed a claim and
+ * would allow a second dispatch. A row gives when the witness started and when
+ * it adopted the list, in seconds relative to the time of the take, the key's age
+ * in seconds, and the expected result of the take.
  */
 static const struct {
 	const char *name;
 	int64_t started;
 	int64_t adopted;
-	int64_t age; /* -1: the key carries no time */
-	bool other_list;
+	int64_t age; /* -1: the key states no creation time */
+	bool other_list; /* the entry used another host list */
 	int answer;
 } abstain_cases[] = {
-	{ "here for long", -9000, -9000, 10, false, PIMENTO_OK },
-	{ "started after the birth", -5, -5, 10, false, PIMENTO_ESTALE },
-	{ "started before, within the margin", -12, -12, 10, false,
+	{ "started long before the key", -9000, -9000, 10, false, PIMENTO_OK },
+	{ "started after the key was created", -5, -5, 10, false,
 	  PIMENTO_ESTALE },
-	{ "started before the margin", -30, -30, 10, false, PIMENTO_OK },
-	{ "list adopted after the birth", -9000, -5, 10, false,
+	{ "started before the key, within the error margin", -12, -12, 10,
+	  false, PIMENTO_ESTALE },
+	{ "started before the key, outside the error margin", -30, -30, 10,
+	  false, PIMENTO_OK },
+	{ "list adopted after the key was created", -9000, -5, 10, false,
 	  PIMENTO_ESTALE },
-	{ "no birth, here for the retention", -3700, -3700, -1, false,
-	  PIMENTO_OK },
-	{ "no birth, here for less", -3500, -3500, -1, false, PIMENTO_ESTALE },
-	{ "asked under another list", -9000, -9000, 10, true, PIMENTO_ESTALE },
-	{ "past the retention", -9000, -9000, 3601, false, PIMENTO_EEXPIRED },
-	{ "from the future", -9000, -9000, -6, false, PIMENTO_EEXPIRED },
-	{ "a clock ahead within the bound", -9000, -9000, -4, false,
+	{ "key without a time, process older than the retention", -3700, -3700,
+	  -1, false, PIMENTO_OK },
+	{ "key without a time, process younger than the retention", -3500,
+	  -3500, -1, false, PIMENTO_ESTALE },
+	{ "entry with another host list", -9000, -9000, 10, true,
+	  PIMENTO_ESTALE },
+	{ "key older than the retention", -9000, -9000, 3601, false,
+	  PIMENTO_EEXPIRED },
+	{ "key from the future, outside the clock skew", -9000, -9000, -6,
+	  false, PIMENTO_EEXPIRED },
+	{ "key from the future, within the clock skew", -9000, -9000, -4, false,
 	  PIMENTO_OK },
 };
 
@@ -362,9 +379,10 @@
 END_TEST
 
 /*
- * More keys arrive than the witness may remember. A record that is live is
- * never thrown out for a new one, or its request could run again; the new key
- * is refused instead, and its refusal can still be made certain.
+ * A witness receives more keys than its table holds. If it evicted an unexpired
+ * record for a new key, the request of the evicted one could run again. It must
+ * refuse the new key instead, and must still be able to seal it, so that the
+ * refused request can be reported as "not run".
  */
 START_TEST(full_table_refuses_instead_of_evicting)
 {
@@ -394,7 +412,7 @@
 	msg.op = CLAIM_QUERY;
 	witness_receive(&witness, 0, &msg, &reply);
 	ck_assert_uint_eq(reply.attempt, 1);
-	/* After the retention there is room again. */
+	/* Records expire after the retention, which empties the table. */
 	witness_tick(&witness, 2 * RETENTION);
 	ck_assert_uint_eq(witness.count, 0);
 	witness_finish(&witness);
@@ -405,14 +423,14 @@
 
 static const struct {
 	const char *name;
-	int at; /* character changed, -1 none, 0 the last one cut off */
+	int at; /* index of the changed character; -1: none, 0: the last is cut off */
 	int result;
 } issued_cases[] = {
-	{ "genuine", -1, PIMENTO_OK },
-	{ "a witness changed", 60, PIMENTO_EAUTH },
-	{ "the birth changed", 10, PIMENTO_EAUTH },
-	{ "the prefix changed", 1, PIMENTO_EPARSE },
-	{ "cut off", 0, PIMENTO_EPARSE },
+	{ "unchanged", -1, PIMENTO_OK },
+	{ "witness changed", 60, PIMENTO_EAUTH },
+	{ "creation time changed", 10, PIMENTO_EAUTH },
+	{ "prefix changed", 1, PIMENTO_EPARSE },
+	{ "last character cut off", 0, PIMENTO_EPARSE },
 };
 
 static char other_char(char c)
--- a/test/test_claim_random.c
+++ b/test/test_claim_random.c
@@ -1,11 +1,12 @@
 /*
- * Random schedules of the claim protocol: several entries with one key, the
- * witnesses of the key, and a network and processes that fail in every way the
- * protocol must bear. After each event the properties are checked that a
- * family's money hangs on.
+ * Random schedules of the claim protocol: several entries with the same key, the
+ * witnesses of the key, and faults of the network and of processes of every kind
+ * that the protocol must tolerate. Each event of an entry is checked against the
+ * safety properties: a violation means that a request runs and is charged twice,
+ * or runs after its caller was told "not run".
  *
- *	SEED=n build/test/test_claim_random	one schedule, as a failure names it
- *	SCHEDULES=n ...				that many, from seed 1
+ *	SEED=n build/test/test_claim_random	the one schedule of that seed
+ *	SCHEDULES=n ...				n schedules, from seed 1
  */
 
 #include "claim.h"
@@ -46,24 +47,24 @@
 
 typedef struct host {
 	witness_t witness;
-	uint32_t list; /* in force here */
+	uint32_t list; /* index of the host list in force on this host */
 } host_t;
 
 typedef struct entry {
 	claim_t claim;
 	action_t action;
-	pimento_usec_t when; /* of the action */
-	pimento_usec_t paused; /* until then */
-	pimento_usec_t clock; /* how much its clock is ahead */
+	pimento_usec_t when; /* time at which action is due */
+	pimento_usec_t paused; /* the process is paused until this time */
+	pimento_usec_t clock; /* how far the entry's clock is ahead */
 	uint64_t digest;
-	uint32_t requested_attempt; /* attempt that the caller named, 0 none */
+	uint32_t requested_attempt; /* attempt named by the caller, or 0 */
 	bool dead;
 	bool dispatched;
 } entry_t;
 
 typedef struct delivery {
 	pimento_usec_t at;
-	uint32_t to; /* host, or entry for a reply */
+	uint32_t to; /* index of the witness, or of the entry for a reply */
 	uint32_t from;
 	bool reply;
 	message_t *message;
@@ -73,9 +74,9 @@
 	uint64_t seed;
 	pimento_random_t random;
 	key_kind_t kind;
-	uint32_t loss_percent; /* percent of messages */
-	uint32_t slow_percent; /* percent of spans that exceed a step */
-	uint32_t fault_interval; /* steps between faults, about */
+	uint32_t loss_percent; /* share of messages that are lost */
+	uint32_t slow_percent; /* share of delays that may exceed a step */
+	uint32_t fault_interval; /* mean number of events between faults */
 	pimento_key_t key;
 	pimento_usec_t now;
 	pimento_usec_t created;
@@ -90,11 +91,11 @@
 	outbox_t out;
 	delivery_t deliveries[DELIVERIES_MAX];
 	uint32_t delivery_count;
-	int winner; /* entry that dispatched, -1 none */
-	uint32_t not_run_attempt; /* highest attempt of which it was said */
+	int winner; /* index of the entry that dispatched, -1 if none */
+	uint32_t not_run_attempt; /* highest attempt reported as "not run" */
 } run_t;
 
-/* Counted over all schedules. */
+/* Faults and results, counted over all schedules. */
 static struct {
 	uint64_t steps, lost, duplicated, late, restarts, pauses, deaths, lists,
 		wrong_bodies, full, dispatches, not_run, held, may_have_run,
@@ -112,7 +113,7 @@
 						    (uint64_t)span);
 }
 
-/* Mostly short; now and then longer than a step, or than the retention. */
+/* Usually short; sometimes longer than a protocol step or than the retention. */
 static pimento_usec_t random_delay(run_t *run)
 {
 	if (!chance(run, run->slow_percent))
@@ -124,7 +125,7 @@
 
 static void fail_property(const run_t *run, const char *what)
 {
-	ck_abort_msg("%s\nrun again: SEED=%llu build/test/test_claim_random",
+	ck_abort_msg("%s\nreproduce: SEED=%llu build/test/test_claim_random",
 		     what, (unsigned long long)run->seed);
 }
 
@@ -144,7 +145,7 @@
 			       h + 1);
 }
 
-/* Each list replaces one or two hosts of the one before it. */
+/* Each host list replaces one or two hosts of the previous list. */
 static void make_hostlists(run_t *run)
 {
 	uint32_t first = 0;
@@ -214,7 +215,7 @@
 	ck_assert_int_eq(outbox_init(&run->out, 64), 0);
 	make_hostlists(run);
 	for (uint32_t h = 0; h < HOSTS; h++) {
-		/* Some have the second list when the key is born. */
+		/* Some hosts have the second list in force when the key is created. */
 		run->hosts[h].list = chance(run, 25);
 		start_witness(run, h, 0);
 	}
@@ -329,13 +330,16 @@
 static void record_dispatch(run_t *run, entry_t *entry, uint32_t e)
 {
 	if (run->winner >= 0)
-		fail_property(run, "a second dispatch");
+		fail_property(run, "second dispatch for one key");
 	if (entry->requested_attempt &&
 	    entry->requested_attempt != entry->claim.attempt)
-		fail_property(run, "dispatched as another attempt than asked");
+		fail_property(
+			run,
+			"dispatched as another attempt than the caller named");
 	if (entry->claim.attempt <= run->not_run_attempt)
-		fail_property(run,
-			      "dispatched after \"not run\" of this attempt");
+		fail_property(
+			run,
+			"dispatched an attempt that was reported as \"not run\"");
 	run->winner = (int)e;
 	entry->dispatched = true;
 	counters.dispatches++;
@@ -354,8 +358,9 @@
 	counters.not_run++;
 	if (run->winner >= 0 &&
 	    run->entries[run->winner].claim.attempt <= attempt)
-		fail_property(run,
-			      "\"not run\" after the dispatch of this attempt");
+		fail_property(
+			run,
+			"reported \"not run\" for an attempt that was dispatched");
 	if (run->not_run_attempt < attempt)
 		run->not_run_attempt = attempt;
 }
@@ -367,25 +372,30 @@
 
 	counters.held++;
 	if (held->digest != entry->digest)
-		fail_property(run, "the answer to another body");
+		fail_property(run, "held claim has another request body");
 	if (!held->done)
 		return;
 	if (run->winner < 0)
-		fail_property(run, "an outcome without a dispatch");
+		fail_property(
+			run,
+			"held claim has an outcome, but nothing was dispatched");
 	want = dispatch_of(run, (uint32_t)run->winner);
 	if (held->answer_size != want.answer_size ||
 	    memcmp(held->answer, want.answer, want.answer_size) != 0)
-		fail_property(run, "not the whole answer of the dispatch");
+		fail_property(
+			run,
+			"stored answer differs from the answer of the dispatch");
 }
 
-/* An outcome that is known makes "not run" true of any other body. */
+/* Once an outcome is known, a request with any other body has not run. */
 static void check_mismatch(run_t *run, const entry_t *entry)
 {
 	counters.mismatch++;
 	if (entry->claim.held.done &&
 	    (run->winner < 0 ||
 	     run->entries[run->winner].digest == entry->digest))
-		fail_property(run, "a mismatch with the body that ran");
+		fail_property(
+			run, "mismatch reported for the request body that ran");
 }
 
 static void handle_event(run_t *run, entry_t *entry, claim_event_t event)
@@ -466,7 +476,8 @@
 			&answer.u.witness);
 	counters.full += answer.u.witness.result == PIMENTO_EFULL;
 	if (witness->count > witness->options.capacity)
-		fail_property(run, "more records than the capacity");
+		fail_property(run,
+			      "witness holds more records than its capacity");
 	send_maybe_duplicated(run, &answer, delivery->to, delivery->from, true);
 }
 
@@ -493,7 +504,7 @@
 	free(delivery.message);
 }
 
-/* Claims of other keys, so that a table fills up. */
+/* Fills the table of a random witness with claims and seals of other keys. */
 static void fill_table(run_t *run)
 {
 	uint32_t h = (uint32_t)pimento_random_below(&run->random, HOSTS);
@@ -520,7 +531,7 @@
 	counters.restarts++;
 }
 
-/* Lists in force at one time are at most two that follow one another. */
+/* At any time, the lists in force on all hosts are at most two successive ones. */
 static void adopt_next_list(run_t *run)
 {
 	uint32_t h = (uint32_t)pimento_random_below(&run->random, HOSTS);
@@ -601,7 +612,7 @@
 	flush_outbox(run, e);
 }
 
-/* A process that wakes reads its messages before it looks at its timers. */
+/* Runs the next event. A process that resumes reads messages before its timers. */
 static bool step(run_t *run)
 {
 	pimento_usec_t due = run->end;
@@ -651,9 +662,9 @@
 
 static void print_counters(uint64_t schedules)
 {
-	printf("%llu schedules, %llu steps; faults: %llu lost, %llu doubled, "
-	       "%llu late, %llu restarts, %llu pauses, %llu deaths, %llu list "
-	       "changes, %llu wrong bodies, %llu full\n",
+	printf("%llu schedules, %llu steps; faults: %llu lost, %llu duplicated, "
+	       "%llu delayed beyond a step, %llu restarts, %llu pauses, %llu "
+	       "deaths, %llu list changes, %llu other bodies, %llu table full\n",
 	       (unsigned long long)schedules,
 	       (unsigned long long)counters.steps,
 	       (unsigned long long)counters.lost,
@@ -665,7 +676,7 @@
 	       (unsigned long long)counters.lists,
 	       (unsigned long long)counters.wrong_bodies,
 	       (unsigned long long)counters.full);
-	printf("ended: %llu dispatched, %llu not run, %llu held, %llu in doubt, "
+	printf("results: %llu dispatched, %llu not run, %llu held, %llu may have run, "
 	       "%llu no quorum, %llu expired, %llu mismatch\n",
 	       (unsigned long long)counters.dispatches,
 	       (unsigned long long)counters.not_run,
@@ -677,10 +688,10 @@
 }
 
 /*
- * Messages are lost, duplicated, reordered and held back beyond every timeout,
- * witnesses restart without memory, entries pause and die, hosts hold
- * different lists, tables fill up. A user would notice a second charge, or a
- * charge after having been told "not run".
+ * Messages are lost, duplicated, reordered and delayed beyond every time-out,
+ * witnesses restart with empty tables, entries pause and die, hosts have
+ * different host lists, tables fill up. A fault in the protocol would let a user
+ * be charged twice, or be charged after having been told "not run".
  */
 START_TEST(at_most_one_dispatch_under_faults)
 {
@@ -696,17 +707,17 @@
 END_TEST
 
 /*
- * Seeds that showed a fault once, in the library or in a copy of it that lacked
- * one rule; none is ever taken out.
+ * Seeds that exposed a fault in the library, or in a variant of it with one rule
+ * removed. Seeds are only ever added here.
  */
 static const uint64_t regression_seeds[] = {
-	24, /* the caller's attempt was raised */
-	132, /* quorum of three of five */
-	135, /* a live record was evicted */
-	274, /* a host spoke for another list than its own */
-	17318, /* a host spoke for keys older than its list */
-	52740, /* a stated age was taken as exact */
-	79729, /* a reply counted after the step's deadline */
+	24, /* an attempt that the caller named was raised */
+	132, /* a quorum of 3 of 5, too few if two host lists differ */
+	135, /* a full table evicted an unexpired record */
+	274, /* a witness answered for a set that its own list does not select */
+	17318, /* a witness answered for keys older than its host list */
+	52740, /* a witness took the key age in a message for exact */
+	79729, /* an entry used a reply after the step's deadline */
 };
 
 START_TEST(seeds_of_past_faults_pass)
--- a/test/test_wire.c
+++ b/test/test_wire.c
@@ -1,6 +1,6 @@
 /*
- * The codec: every kind of message survives the round trip, and what a broken or
- * hostile peer may send is refused.
+ * Tests of the message encoding: every kind of message decodes to what was
+ * encoded, and malformed or hostile input of a peer is rejected.
  */
 
 #include "wire.h"
@@ -79,24 +79,24 @@
 	message_t message;
 	int expected;
 } out_of_range_cases[] = {
-	{ "no kind", { .kind = MESSAGE_NONE }, PIMENTO_EINVAL },
-	{ "beyond the kinds", { .kind = MESSAGE_KINDS }, PIMENTO_EINVAL },
-	{ "too many facts",
+	{ "message without a kind", { .kind = MESSAGE_NONE }, PIMENTO_EINVAL },
+	{ "kind out of range", { .kind = MESSAGE_KINDS }, PIMENTO_EINVAL },
+	{ "more facts than a probe holds",
 	  { .kind = MESSAGE_PROBE, .u.probe.count = MESSAGE_FACTS_MAX + 1 },
 	  PIMENTO_EINVAL },
 	{ "tier out of range",
 	  { .kind = MESSAGE_RESERVE, .u.reserve.tier = PIMENTO_TIERS_MAX },
 	  PIMENTO_EPARSE },
-	{ "unknown operation",
+	{ "unknown claim operation",
 	  { .kind = MESSAGE_CLAIM, .u.claim.op = 9 },
 	  PIMENTO_EPARSE },
-	{ "unknown outcome",
+	{ "unknown release outcome",
 	  { .kind = MESSAGE_RELEASE, .u.release.outcome = 9 },
 	  PIMENTO_EPARSE },
-	{ "unknown subject",
+	{ "unknown subject of an offer",
 	  { .kind = MESSAGE_OFFER, .u.offer.subject = 3 },
 	  PIMENTO_EPARSE },
-	{ "unknown state",
+	{ "unknown host state in a fact",
 	  { .kind = MESSAGE_ACK,
 	    .u.probe = { .count = 1, .facts[0].state = 77 } },
 	  PIMENTO_EPARSE },
@@ -129,8 +129,8 @@
 END_TEST
 
 /*
- * A peer of another version, or a stray client, sends bytes that are no
- * message. The link must see an error for each and never a crash.
+ * A peer of another version or an unrelated client may send arbitrary bytes. The
+ * decoder must return an error or a valid message for them and must not crash.
  */
 START_TEST(random_bytes_do_not_crash_decoder)
 {
