--- a/src/grants.c
+++ b/src/grants.c
@@ -36,7 +36,8 @@
 	free(grants->endpoints);
 }
 
-static grants_endpoint_t *find(const grants_t *grants, uint32_t endpoint)
+static grants_endpoint_t *find_endpoint(const grants_t *grants,
+					uint32_t endpoint)
 {
 	for (uint32_t i = 0; i < grants->count; i++)
 		if (grants->endpoints[i].endpoint == endpoint)
@@ -46,7 +47,7 @@
 
 static grants_endpoint_t *find_or_add(grants_t *grants, uint32_t endpoint)
 {
-	grants_endpoint_t *e = find(grants, endpoint);
+	grants_endpoint_t *e = find_endpoint(grants, endpoint);
 
 	if (e)
 		return e;
@@ -105,7 +106,7 @@
 
 bool grants_is_waiting(const grants_t *grants, const grants_request_t *request)
 {
-	const grants_endpoint_t *e = find(grants, request->endpoint);
+	const grants_endpoint_t *e = find_endpoint(grants, request->endpoint);
 
 	for (uint32_t i = 0; e && i < e->count; i++)
 		if (e->entries[i].request.ticket == request->ticket &&
@@ -114,8 +115,8 @@
 	return false;
 }
 
-static grants_foreign_t *foreign_of(const grants_endpoint_t *e,
-				    uint32_t address)
+static grants_foreign_t *find_foreign(const grants_endpoint_t *e,
+				      uint32_t address)
 {
 	for (uint32_t i = 0; i < e->foreign_count; i++)
 		if (e->foreign[i].address == address)
@@ -133,7 +134,7 @@
 void grants_release(grants_t *grants, uint32_t endpoint, uint32_t address,
 		    uint64_t ticket)
 {
-	grants_endpoint_t *e = find(grants, endpoint);
+	grants_endpoint_t *e = find_endpoint(grants, endpoint);
 	grants_foreign_t *foreign;
 
 	for (uint32_t i = 0; e && i < e->count; i++) {
@@ -144,7 +145,7 @@
 			return;
 		}
 	}
-	foreign = e && ticket ? foreign_of(e, address) : NULL;
+	foreign = e && ticket ? find_foreign(e, address) : NULL;
 	if (foreign && foreign->running)
 		set_foreign(e, foreign, foreign->running - 1);
 }
@@ -207,7 +208,7 @@
 bool grants_grant_next(grants_t *grants, uint32_t endpoint, uint32_t slots,
 		       pimento_usec_t now, grants_request_t *granted)
 {
-	grants_endpoint_t *e = find(grants, endpoint);
+	grants_endpoint_t *e = find_endpoint(grants, endpoint);
 	grants_entry_t *first;
 
 	if (!e || !e->waiting)
@@ -243,8 +244,8 @@
 }
 
 /* Renews or drops the host's grants; returns how many of them are left. */
-static uint32_t renew(grants_endpoint_t *e, uint32_t address, uint32_t running,
-		      pimento_usec_t now)
+static uint32_t renew_grants(grants_endpoint_t *e, uint32_t address,
+			     uint32_t running, pimento_usec_t now)
 {
 	uint32_t unconfirmed = 0;
 	uint32_t renewed = 0;
@@ -275,8 +276,8 @@
 
 	if (!e)
 		return PIMENTO_ENOMEM;
-	granted_here = renew(e, address, running, now);
-	foreign = foreign_of(e, address);
+	granted_here = renew_grants(e, address, running, now);
+	foreign = find_foreign(e, address);
 	if (!foreign && running > granted_here)
 		foreign = add_foreign(e, address);
 	if (!foreign)
@@ -301,7 +302,7 @@
 
 void grants_expire(grants_t *grants, uint32_t endpoint, pimento_usec_t now)
 {
-	grants_endpoint_t *e = find(grants, endpoint);
+	grants_endpoint_t *e = find_endpoint(grants, endpoint);
 
 	if (!e)
 		return;
@@ -317,7 +318,7 @@
 bool grants_is_requested(const grants_t *grants, uint32_t endpoint,
 			 pimento_usec_t now)
 {
-	const grants_endpoint_t *e = find(grants, endpoint);
+	const grants_endpoint_t *e = find_endpoint(grants, endpoint);
 
 	return e && e->requested_at &&
 	       now - e->requested_at < REQUESTED_RECENTLY_SPAN;
@@ -325,7 +326,7 @@
 
 void grants_remove_endpoint(grants_t *grants, uint32_t endpoint)
 {
-	grants_endpoint_t *e = find(grants, endpoint);
+	grants_endpoint_t *e = find_endpoint(grants, endpoint);
 
 	if (!e)
 		return;
@@ -335,19 +336,19 @@
 
 bool grants_has_endpoint(const grants_t *grants, uint32_t endpoint)
 {
-	return find(grants, endpoint) != NULL;
+	return find_endpoint(grants, endpoint) != NULL;
 }
 
 uint32_t grants_running(const grants_t *grants, uint32_t endpoint)
 {
-	const grants_endpoint_t *e = find(grants, endpoint);
+	const grants_endpoint_t *e = find_endpoint(grants, endpoint);
 
 	return e ? e->granted + e->foreign_running : 0;
 }
 
 uint32_t grants_waiting(const grants_t *grants, uint32_t endpoint)
 {
-	const grants_endpoint_t *e = find(grants, endpoint);
+	const grants_endpoint_t *e = find_endpoint(grants, endpoint);
 
 	return e ? e->waiting : 0;
 }
--- a/src/limit.c
+++ b/src/limit.c
@@ -189,9 +189,9 @@
 
 void limit_observe_failure(limit_t *limit, pimento_usec_t now)
 {
-	limit_load_t all = { limit->requests_max, 0 };
+	limit_load_t full_load = { limit->requests_max, 0 };
 
-	decrease_requests(limit, now, &all);
+	decrease_requests(limit, now, &full_load);
 }
 
 double limit_prefill_rate(const limit_t *limit)
@@ -235,7 +235,7 @@
 	return (pimento_usec_t)(answer * gap * PIMENTO_SEC);
 }
 
-static pimento_usec_t service_span(const limit_t *limit)
+static pimento_usec_t mean_service_span(const limit_t *limit)
 {
 	double seconds = limit->service_mean > 0 ? limit->service_mean
 						 : DEFAULT_SERVICE_S;
@@ -247,7 +247,7 @@
 				  uint32_t prompt, uint32_t answer)
 {
 	if (limit->target == CONFIG_TARGET_SERVICE)
-		return service_span(limit);
+		return mean_service_span(limit);
 	return limit_prefill_span(limit, ahead, prompt) +
 	       limit_decode_span(limit, answer);
 }
@@ -258,7 +258,7 @@
 	uint32_t slots = limit_requests(limit);
 
 	if (limit->target == CONFIG_TARGET_SERVICE)
-		return service_span(limit) / slots;
+		return mean_service_span(limit) / slots;
 	return limit_prefill_span(limit, 0, prompt) +
 	       limit_decode_span(limit, answer) / slots;
 }
--- a/src/owner.c
+++ b/src/owner.c
@@ -31,7 +31,8 @@
 	return reservation_table_init(&owner->reservations);
 }
 
-static owner_endpoint_t *find(const owner_t *owner, pimento_id_t endpoint)
+static owner_endpoint_t *find_endpoint(const owner_t *owner,
+				       pimento_id_t endpoint)
 {
 	for (uint32_t i = 0; i < owner->count; i++)
 		if (owner->endpoints[i]->config.id == endpoint)
@@ -115,8 +116,9 @@
  * Another endpoint of ours that might take what this one refuses: one with
  * less urgent work waiting, which has to go first, or with the shortest line.
  */
-static pimento_id_t elsewhere(const owner_t *owner, pimento_usec_t now,
-			      const owner_endpoint_t *refusing, uint8_t tier)
+static pimento_id_t find_alternative(const owner_t *owner, pimento_usec_t now,
+				     const owner_endpoint_t *refusing,
+				     uint8_t tier)
 {
 	pimento_usec_t best = PIMENTO_NEVER;
 	pimento_id_t found = 0;
@@ -164,14 +166,14 @@
 	refuse->retry_after = retry_after(owner, now, e, params->tier);
 	if (e) {
 		refuse->alternative_endpoint =
-			elsewhere(owner, now, e, params->tier);
+			find_alternative(owner, now, e, params->tier);
 		endpoint_fill_summary(e, now, &refuse->summary);
 	}
 	outbox_put(owner->out, to, &m);
 }
 
 /* Takes a reservation out of everything and frees it. */
-static void discard(owner_t *owner, reservation_t *r)
+static void discard_reservation(owner_t *owner, reservation_t *r)
 {
 	if (r->state == RESERVATION_WAITING) {
 		queue_remove(&r->endpoint->queue, &r->item);
@@ -183,18 +185,19 @@
 	reservation_remove(&owner->reservations, r);
 }
 
-static void refuse(owner_t *owner, pimento_usec_t now, reservation_t *r,
-		   int reason)
+static void refuse_reservation(owner_t *owner, pimento_usec_t now,
+			       reservation_t *r, int reason)
 {
 	message_reserve_t params = r->params;
 	owner_endpoint_t *e = r->endpoint;
 	pimento_id_t to = r->entry;
 
-	discard(owner, r);
+	discard_reservation(owner, r);
 	send_refuse(owner, now, to, &params, e, reason);
 }
 
-static void grant(owner_t *owner, pimento_usec_t now, reservation_t *r)
+static void grant_reservation(owner_t *owner, pimento_usec_t now,
+			      reservation_t *r)
 {
 	queue_grant(&r->endpoint->queue, &r->item);
 	owner->waiting--;
@@ -211,15 +214,15 @@
  * prompts pass, which does not put it off: they never fill the span that has
  * to be free for it.
  */
-static void grant_fitting(owner_t *owner, pimento_usec_t now,
-			  owner_endpoint_t *e)
+static void grant_waiting_requests(owner_t *owner, pimento_usec_t now,
+				   owner_endpoint_t *e)
 {
 	for (uint8_t tier = 0; tier < PIMENTO_TIERS_MAX; tier++) {
 		reservation_t *r;
 
 		while ((r = (reservation_t *)queue_next(&e->queue, tier)) &&
 		       endpoint_fits(e, now, r))
-			grant(owner, now, r);
+			grant_reservation(owner, now, r);
 		if (r && e->running >= endpoint_tier_slots(e, now, tier))
 			return;
 	}
@@ -242,7 +245,7 @@
 
 			if (now + wait <= r->item.deadline)
 				break;
-			refuse(owner, now, r, PIMENTO_EDEADLINE);
+			refuse_reservation(owner, now, r, PIMENTO_EDEADLINE);
 		}
 	}
 }
@@ -261,26 +264,28 @@
 		}
 	}
 	if (from)
-		refuse(owner, now,
-		       (reservation_t *)queue_victim(&from->queue, lowest),
-		       PIMENTO_EBUSY);
+		refuse_reservation(
+			owner, now,
+			(reservation_t *)queue_victim(&from->queue, lowest),
+			PIMENTO_EBUSY);
 }
 
 /* Sheds what is less urgent than a request that is given up next. */
 static void shed_lower_tiers(owner_t *owner, pimento_usec_t now,
-			     const owner_endpoint_t *like, uint8_t tier)
+			     const owner_endpoint_t *reference, uint8_t tier)
 {
 	for (uint32_t i = 0; i < owner->count; i++) {
 		owner_endpoint_t *e = owner->endpoints[i];
 		int lowest;
 
-		if (!endpoint_same_target(e, like))
+		if (!endpoint_same_target(e, reference))
 			continue;
 		e->tier_floor_until[tier] = now + OWNER_TIER_FLOOR_SPAN;
 		while ((lowest = queue_lowest_tier(&e->queue)) > tier)
-			refuse(owner, now,
-			       (reservation_t *)queue_victim(&e->queue, lowest),
-			       PIMENTO_EBUSY);
+			refuse_reservation(owner, now,
+					   (reservation_t *)queue_victim(
+						   &e->queue, lowest),
+					   PIMENTO_EBUSY);
 	}
 }
 
@@ -362,7 +367,7 @@
 static void reserve_new(owner_t *owner, pimento_usec_t now, pimento_id_t from,
 			const message_reserve_t *params)
 {
-	owner_endpoint_t *e = find(owner, params->endpoint);
+	owner_endpoint_t *e = find_endpoint(owner, params->endpoint);
 	pimento_reqid_t request = params->request;
 	reservation_t *r;
 	int reason;
@@ -382,7 +387,7 @@
 		send_refuse(owner, now, from, params, e, PIMENTO_EBUSY);
 		return;
 	}
-	grant_fitting(owner, now, e);
+	grant_waiting_requests(owner, now, e);
 	if (owner->waiting > owner->options.waiting_max)
 		evict_lowest_tier(owner, now);
 	refuse_overdue(owner, now, e);
@@ -395,11 +400,11 @@
 	}
 	if (params->hops >= OWNER_HOPS_SHED_ONLY)
 		shed_lower_tiers(owner, now, e, params->tier);
-	refuse(owner, now, r, PIMENTO_EBUSY);
+	refuse_reservation(owner, now, r, PIMENTO_EBUSY);
 }
 
-static void reserve(owner_t *owner, pimento_usec_t now, pimento_id_t from,
-		    const message_reserve_t *params)
+static void handle_reserve(owner_t *owner, pimento_usec_t now,
+			   pimento_id_t from, const message_reserve_t *params)
 {
 	reservation_t *r =
 		reservation_find(&owner->reservations, params->request);
@@ -420,8 +425,8 @@
 	if (r) {
 		owner_endpoint_t *before = r->endpoint;
 
-		discard(owner, r);
-		grant_fitting(owner, now, before);
+		discard_reservation(owner, r);
+		grant_waiting_requests(owner, now, before);
 	}
 	reserve_new(owner, now, from, params);
 }
@@ -449,8 +454,8 @@
 		r->decode_span = decode;
 }
 
-static void release(owner_t *owner, pimento_usec_t now,
-		    const message_release_t *reported)
+static void handle_release(owner_t *owner, pimento_usec_t now,
+			   const message_release_t *reported)
 {
 	reservation_t *r =
 		reservation_find(&owner->reservations, reported->request);
@@ -475,8 +480,8 @@
 	}
 	if (reported->outcome == RELEASE_FAILED)
 		limit_observe_failure(&e->limit, now);
-	discard(owner, r);
-	grant_fitting(owner, now, e);
+	discard_reservation(owner, r);
+	grant_waiting_requests(owner, now, e);
 }
 
 /*
@@ -488,7 +493,7 @@
 			   pimento_id_t from,
 			   const message_progress_t *reported)
 {
-	owner_endpoint_t *e = find(owner, reported->endpoint);
+	owner_endpoint_t *e = find_endpoint(owner, reported->endpoint);
 	reservation_t *r;
 
 	if (!e)
@@ -512,8 +517,9 @@
 	endpoint_add_reservation(e, now, r);
 }
 
-static void progress(owner_t *owner, pimento_usec_t now, pimento_id_t from,
-		     const message_progress_t *reported)
+static void handle_progress(owner_t *owner, pimento_usec_t now,
+			    pimento_id_t from,
+			    const message_progress_t *reported)
 {
 	reservation_t *r =
 		reservation_find(&owner->reservations, reported->request);
@@ -535,7 +541,7 @@
 	endpoint_update_answered(r->endpoint, r, reported->answer_tokens);
 	r->due = now + OWNER_LEASE;
 	heap_put(&owner->due, r, r->due);
-	grant_fitting(owner, now, r->endpoint);
+	grant_waiting_requests(owner, now, r->endpoint);
 }
 
 int owner_receive(owner_t *owner, pimento_usec_t now, pimento_id_t from,
@@ -543,13 +549,13 @@
 {
 	switch (message->kind) {
 	case MESSAGE_RESERVE:
-		reserve(owner, now, from, &message->u.reserve);
+		handle_reserve(owner, now, from, &message->u.reserve);
 		return 0;
 	case MESSAGE_RELEASE:
-		release(owner, now, &message->u.release);
+		handle_release(owner, now, &message->u.release);
 		return 0;
 	case MESSAGE_PROGRESS:
-		progress(owner, now, from, &message->u.progress);
+		handle_progress(owner, now, from, &message->u.progress);
 		return 0;
 	default:
 		return PIMENTO_EINVAL;
@@ -563,8 +569,9 @@
 	int tier;
 
 	while ((tier = queue_lowest_tier(&e->queue)) >= 0)
-		refuse(owner, now,
-		       (reservation_t *)queue_victim(&e->queue, tier), reason);
+		refuse_reservation(
+			owner, now,
+			(reservation_t *)queue_victim(&e->queue, tier), reason);
 }
 
 static int append_endpoint(owner_t *owner, owner_endpoint_t *e)
@@ -588,14 +595,14 @@
 		       const config_endpoint_t *endpoint, uint64_t epoch,
 		       double weight)
 {
-	owner_endpoint_t *e = find(owner, endpoint->id);
+	owner_endpoint_t *e = find_endpoint(owner, endpoint->id);
 
 	if (e) {
 		e->config = *endpoint;
 		e->epoch = epoch;
 		e->weight = weight;
 		limit_set_concurrency(&e->limit, endpoint->concurrency);
-		grant_fitting(owner, now, e);
+		grant_waiting_requests(owner, now, e);
 		return 0;
 	}
 	e = endpoint_new(endpoint, epoch, weight);
@@ -610,14 +617,14 @@
 void owner_remove_endpoint(owner_t *owner, pimento_usec_t now,
 			   pimento_id_t endpoint)
 {
-	owner_endpoint_t *e = find(owner, endpoint);
+	owner_endpoint_t *e = find_endpoint(owner, endpoint);
 
 	if (!e)
 		return;
 	e->leaving = true;
 	refuse_all(owner, now, e, PIMENTO_ESTALE);
 	while (e->in_flight)
-		discard(owner, e->in_flight);
+		discard_reservation(owner, e->in_flight);
 	for (uint32_t i = 0; i < owner->count; i++)
 		if (owner->endpoints[i] == e)
 			owner->endpoints[i] = owner->endpoints[--owner->count];
@@ -627,7 +634,7 @@
 void owner_endpoint_leaving(owner_t *owner, pimento_usec_t now,
 			    pimento_id_t endpoint)
 {
-	owner_endpoint_t *e = find(owner, endpoint);
+	owner_endpoint_t *e = find_endpoint(owner, endpoint);
 
 	if (!e || e->leaving)
 		return;
@@ -638,12 +645,12 @@
 void owner_endpoint_restarted(owner_t *owner, pimento_usec_t now,
 			      pimento_id_t endpoint)
 {
-	owner_endpoint_t *e = find(owner, endpoint);
+	owner_endpoint_t *e = find_endpoint(owner, endpoint);
 
 	if (!e || !e->leaving)
 		return;
 	e->leaving = false;
-	grant_fitting(owner, now, e);
+	grant_waiting_requests(owner, now, e);
 }
 
 void owner_entry_dead(owner_t *owner, pimento_usec_t now, pimento_id_t entry)
@@ -658,25 +665,25 @@
 
 			if (r->entry == entry &&
 			    r->state != RESERVATION_RUNNING)
-				discard(owner, r);
+				discard_reservation(owner, r);
 			r = next;
 		}
 	}
 	for (uint32_t i = 0; i < owner->count; i++)
-		grant_fitting(owner, now, owner->endpoints[i]);
+		grant_waiting_requests(owner, now, owner->endpoints[i]);
 }
 
 void owner_load_report(owner_t *owner, pimento_usec_t now,
 		       pimento_id_t endpoint, const load_report_t *report)
 {
-	owner_endpoint_t *e = find(owner, endpoint);
+	owner_endpoint_t *e = find_endpoint(owner, endpoint);
 
 	if (!e)
 		return;
 	if (report->leaving)
 		owner_endpoint_leaving(owner, now, endpoint);
 	endpoint_apply_load_report(e, now, report);
-	grant_fitting(owner, now, e);
+	grant_waiting_requests(owner, now, e);
 }
 
 /* The time of a reservation has come. */
@@ -685,13 +692,13 @@
 	owner_endpoint_t *e = r->endpoint;
 
 	if (r->state != RESERVATION_WAITING) {
-		discard(owner, r);
-		grant_fitting(owner, now, e);
+		discard_reservation(owner, r);
+		grant_waiting_requests(owner, now, e);
 		return;
 	}
 	r->due = latest_start(r);
 	if (r->due <= now)
-		refuse(owner, now, r, PIMENTO_EDEADLINE);
+		refuse_reservation(owner, now, r, PIMENTO_EDEADLINE);
 	else
 		heap_put(&owner->due, r, r->due);
 }
@@ -701,7 +708,7 @@
 	while (heap_top_key(&owner->due) <= now)
 		handle_due(owner, now, heap_top(&owner->due));
 	for (uint32_t i = 0; i < owner->count; i++) {
-		grant_fitting(owner, now, owner->endpoints[i]);
+		grant_waiting_requests(owner, now, owner->endpoints[i]);
 		refuse_overdue(owner, now, owner->endpoints[i]);
 	}
 }
@@ -714,7 +721,7 @@
 int owner_summary(const owner_t *owner, pimento_usec_t now,
 		  pimento_id_t endpoint, message_summary_t *summary)
 {
-	const owner_endpoint_t *e = find(owner, endpoint);
+	const owner_endpoint_t *e = find_endpoint(owner, endpoint);
 
 	if (!e)
 		return PIMENTO_ENOTFOUND;
@@ -729,10 +736,11 @@
 		int tier;
 
 		while ((tier = queue_lowest_tier(&e->queue)) >= 0)
-			discard(owner,
+			discard_reservation(
+				owner,
 				(reservation_t *)queue_victim(&e->queue, tier));
 		while (e->in_flight)
-			discard(owner, e->in_flight);
+			discard_reservation(owner, e->in_flight);
 		owner->endpoints[0] = owner->endpoints[--owner->count];
 		endpoint_free(e);
 	}
--- a/src/prompt_mix.c
+++ b/src/prompt_mix.c
@@ -32,7 +32,7 @@
 	return NULL;
 }
 
-static void decay(prompt_mix_target_t *t, pimento_usec_t now)
+static void decay_work(prompt_mix_target_t *t, pimento_usec_t now)
 {
 	pimento_usec_t span = now - t->decayed_at;
 	double keep;
@@ -48,16 +48,16 @@
 }
 
 void prompt_mix_record(prompt_mix_target_t *t, pimento_usec_t now, uint8_t tier,
-		       double work, bool lengthy)
+		       double work, bool is_long)
 {
-	decay(t, now);
-	if (lengthy)
+	decay_work(t, now);
+	if (is_long)
 		t->long_work[tier] += work;
 	else
 		t->short_work[tier] += work;
 }
 
-static double sum(const double *work, int count)
+static double sum_work(const double *work, int count)
 {
 	double all = 0;
 
@@ -68,7 +68,8 @@
 
 uint8_t prompt_mix_lowest_long_tier(const prompt_mix_target_t *t)
 {
-	double least = WORK_SHARE_MIN * sum(t->long_work, PIMENTO_TIERS_MAX);
+	double least =
+		WORK_SHARE_MIN * sum_work(t->long_work, PIMENTO_TIERS_MAX);
 	uint8_t last = 0;
 
 	for (uint8_t i = 0; i < PIMENTO_TIERS_MAX; i++)
@@ -79,10 +80,11 @@
 
 double prompt_mix_short_share(const prompt_mix_target_t *t)
 {
-	double lengthy = sum(t->long_work, PIMENTO_TIERS_MAX);
-	double brief = sum(t->short_work, prompt_mix_lowest_long_tier(t) + 1);
+	double long_work = sum_work(t->long_work, PIMENTO_TIERS_MAX);
+	double short_work =
+		sum_work(t->short_work, prompt_mix_lowest_long_tier(t) + 1);
 
-	if (lengthy <= 0 || brief <= WORK_SHARE_MIN * lengthy)
+	if (long_work <= 0 || short_work <= WORK_SHARE_MIN * long_work)
 		return 0;
-	return brief / (brief + lengthy);
+	return short_work / (short_work + long_work);
 }
--- a/src/prompt_mix.h
+++ b/src/prompt_mix.h
@@ -19,7 +19,7 @@
 	pimento_usec_t decayed_at;
 } prompt_mix_target_t;
 
-typedef struct mix {
+typedef struct prompt_mix {
 	prompt_mix_target_t targets[PROMPT_MIX_TARGETS_MAX];
 } prompt_mix_t;
 
@@ -30,7 +30,7 @@
 
 /* One more request came: work in seconds of an ordinary endpoint. */
 void prompt_mix_record(prompt_mix_target_t *target, pimento_usec_t now,
-		       uint8_t tier, double work, bool lengthy);
+		       uint8_t tier, double work, bool is_long);
 
 /* Least urgent tier that long prompts come in, 0 when there are none. */
 uint8_t prompt_mix_lowest_long_tier(const prompt_mix_target_t *target);
--- a/src/reservation.c
+++ b/src/reservation.c
@@ -41,7 +41,7 @@
 }
 
 /* Without memory the chains just stay longer. */
-static void grow(reservation_table_t *table)
+static void grow_table(reservation_table_t *table)
 {
 	uint32_t size = table->size * 2;
 	reservation_t **chains = calloc(size, sizeof(reservation_t *));
@@ -72,7 +72,7 @@
 	if (!r)
 		return NULL;
 	if (table->count >= table->size)
-		grow(table);
+		grow_table(table);
 	queue_item_init(&r->item);
 	r->params.request = request;
 	r->due_index = HEAP_ABSENT;
--- a/src/route.c
+++ b/src/route.c
@@ -75,7 +75,7 @@
 	memset(route, 0, sizeof(*route));
 }
 
-static route_endpoint_t *find(const route_t *route, pimento_id_t id)
+static route_endpoint_t *find_endpoint(const route_t *route, pimento_id_t id)
 {
 	uint32_t low = 0;
 	uint32_t high = route->count;
@@ -121,7 +121,8 @@
 	if (!endpoints)
 		return PIMENTO_ENOMEM;
 	for (uint32_t i = 0; i < n; i++) {
-		route_endpoint_t *old = find(route, config->endpoints[i].id);
+		route_endpoint_t *old =
+			find_endpoint(route, config->endpoints[i].id);
 
 		if (old)
 			endpoints[i] = *old;
@@ -136,7 +137,7 @@
 	return 0;
 }
 
-static double larger(double a, double b)
+static double max_double(double a, double b)
 {
 	return a > b ? a : b;
 }
@@ -144,17 +145,17 @@
 void route_update_summary(route_t *route, pimento_usec_t now,
 			  const message_summary_t *summary)
 {
-	route_endpoint_t *e = find(route, summary->endpoint);
+	route_endpoint_t *e = find_endpoint(route, summary->endpoint);
 
 	(void)now;
 	if (!e || summary->epoch < e->summary.epoch)
 		return;
 	e->summary = *summary;
 	e->pending_work = 0;
-	e->prefill_rate_max = larger(e->prefill_rate_max * BEST_DECAY,
-				     (double)summary->prefill_rate);
-	e->decode_rate_max = larger(e->decode_rate_max * BEST_DECAY,
-				    (double)summary->decode_rate);
+	e->prefill_rate_max = max_double(e->prefill_rate_max * BEST_DECAY,
+					 (double)summary->prefill_rate);
+	e->decode_rate_max = max_double(e->decode_rate_max * BEST_DECAY,
+					(double)summary->decode_rate);
 }
 
 static double ewma(double old, double sample)
@@ -167,7 +168,7 @@
 			 uint32_t answer_tokens, pimento_usec_t first_token,
 			 pimento_usec_t decode)
 {
-	route_endpoint_t *e = find(route, endpoint);
+	route_endpoint_t *e = find_endpoint(route, endpoint);
 	double first = (double)first_token / PIMENTO_SEC;
 	double rest = (double)decode / PIMENTO_SEC;
 
@@ -227,7 +228,7 @@
 
 void route_set_leaving(route_t *route, pimento_id_t endpoint, bool leaving)
 {
-	route_endpoint_t *e = find(route, endpoint);
+	route_endpoint_t *e = find_endpoint(route, endpoint);
 
 	if (e)
 		e->leaving = leaving;
@@ -236,7 +237,7 @@
 void route_endpoint_failed(route_t *route, pimento_usec_t now,
 			   pimento_id_t endpoint)
 {
-	route_endpoint_t *e = find(route, endpoint);
+	route_endpoint_t *e = find_endpoint(route, endpoint);
 
 	if (e)
 		e->failed_until = now + FAILED_AVOID_SPAN;
@@ -250,26 +251,26 @@
 	double service_seconds;
 } rates_t;
 
-static double prefill_of(const route_endpoint_t *e)
+static double prefill_rate_of(const route_endpoint_t *e)
 {
 	return e->summary.prefill_rate > 0 ? (double)e->summary.prefill_rate
 					   : e->prefill;
 }
 
-static double decode_of(const route_endpoint_t *e)
+static double decode_rate_of(const route_endpoint_t *e)
 {
 	return e->summary.decode_rate > 0 ? (double)e->summary.decode_rate
 					  : e->decode;
 }
 
 /* Seconds of a plain service_seconds's answer. */
-static double service_of(const route_endpoint_t *e)
+static double service_seconds_of(const route_endpoint_t *e)
 {
 	return e->summary.decode_rate > 0 ? 1 / (double)e->summary.decode_rate
 					  : e->service_seconds;
 }
 
-static bool serves(const route_endpoint_t *e, const route_query_t *query)
+static bool serves_target(const route_endpoint_t *e, const route_query_t *query)
 {
 	return e->target == query->target &&
 	       !strcmp(e->target_name, query->target_name);
@@ -282,13 +283,14 @@
 	for (uint32_t i = 0; i < route->count; i++) {
 		const route_endpoint_t *e = &route->endpoints[i];
 
-		if (!serves(e, query))
+		if (!serves_target(e, query))
 			continue;
-		best.prefill = larger(best.prefill, prefill_of(e));
-		best.decode = larger(best.decode, decode_of(e));
-		if (service_of(e) > 0 && (best.service_seconds <= 0 ||
-					  service_of(e) < best.service_seconds))
-			best.service_seconds = service_of(e);
+		best.prefill = max_double(best.prefill, prefill_rate_of(e));
+		best.decode = max_double(best.decode, decode_rate_of(e));
+		if (service_seconds_of(e) > 0 &&
+		    (best.service_seconds <= 0 ||
+		     service_seconds_of(e) < best.service_seconds))
+			best.service_seconds = service_seconds_of(e);
 	}
 	if (best.prefill <= 0)
 		best.prefill = DEFAULT_PREFILL_RATE;
@@ -304,13 +306,15 @@
 			      const route_query_t *query,
 			      const route_endpoint_t *e, const rates_t *best)
 {
-	double prefill = prefill_of(e) > 0 ? prefill_of(e) : best->prefill;
-	double decode = decode_of(e) > 0 ? decode_of(e) : best->decode;
+	double prefill =
+		prefill_rate_of(e) > 0 ? prefill_rate_of(e) : best->prefill;
+	double decode =
+		decode_rate_of(e) > 0 ? decode_rate_of(e) : best->decode;
 	double prompt = query->prompt_tokens;
 
 	if (e->target == CONFIG_TARGET_SERVICE)
-		return service_of(e) > 0 ? service_of(e)
-					 : best->service_seconds;
+		return service_seconds_of(e) > 0 ? service_seconds_of(e)
+						 : best->service_seconds;
 	prompt -= cached_tokens(route, now, query, e->id);
 	if (!query->tier) /* for the others they are in the wait */
 		prompt += e->summary.waiting_tokens;
@@ -335,7 +339,7 @@
 static bool is_usable(const route_endpoint_t *e, pimento_usec_t now,
 		      const route_query_t *query)
 {
-	if (!serves(e, query) || e->leaving || e->summary.leaving)
+	if (!serves_target(e, query) || e->leaving || e->summary.leaving)
 		return false;
 	if (now < e->failed_until || is_avoided(query, e->id))
 		return false;
@@ -361,19 +365,19 @@
  * two entries would send long and short prompts to the same endpoint.
  */
 static void partition_target(route_endpoint_t **list, uint32_t count,
-			     double part)
+			     double short_share)
 {
-	double all = 0;
+	double total = 0;
 	double sum = 0;
 
 	for (uint32_t i = 0; i < count; i++)
-		all += larger(prefill_of(list[i]), 1);
+		total += max_double(prefill_rate_of(list[i]), 1);
 	for (uint32_t i = 0; i < count; i++) {
-		double one = larger(prefill_of(list[i]), 1) / all;
+		double share = max_double(prefill_rate_of(list[i]), 1) / total;
 
-		list[i]->short_only = part > 0 && i + 1 < count &&
-				      (!i || sum + one / 2 <= part);
-		sum += one;
+		list[i]->short_only = short_share > 0 && i + 1 < count &&
+				      (!i || sum + share / 2 <= short_share);
+		sum += share;
 	}
 }
 
@@ -423,17 +427,17 @@
 
 	for (uint32_t i = 0; i < route->count; i++) {
 		route_endpoint_t *e = &route->endpoints[i];
-		double one;
-		double all;
+		double service;
+		double total;
 
 		if (!is_usable(e, now, query) || !is_in_subset(e, subset))
 			continue;
-		one = service_seconds(route, now, query, e, best);
-		all = one + queue_seconds(query, e);
-		all *= 1 + JITTER * pimento_random_unit(&route->random);
-		if (!found || all < *least) {
+		service = service_seconds(route, now, query, e, best);
+		total = service + queue_seconds(query, e);
+		total *= 1 + JITTER * pimento_random_unit(&route->random);
+		if (!found || total < *least) {
 			found = e;
-			*least = all;
+			*least = total;
 		}
 	}
 	return found;
@@ -493,9 +497,9 @@
 				  is_long_prompt(query, best));
 }
 
-static int choose(route_t *route, pimento_usec_t now,
-		  const route_query_t *query, bool allow_short_only,
-		  route_choice_t *choice)
+static int choose_endpoint(route_t *route, pimento_usec_t now,
+			   const route_query_t *query, bool allow_short_only,
+			   route_choice_t *choice)
 {
 	rates_t best = best_rates(route, query);
 	double least = 0;
@@ -522,9 +526,9 @@
 
 	record_work(route, now, query, &best);
 	partition_endpoints(route, now);
-	if (!choose(route, now, query, false, choice))
+	if (!choose_endpoint(route, now, query, false, choice))
 		return 0;
-	return choose(route, now, query, true, choice);
+	return choose_endpoint(route, now, query, true, choice);
 }
 
 void route_retry_init(route_retry_t *retry)
@@ -559,9 +563,10 @@
 }
 
 /* An endpoint that should still finish it in time. */
-static bool choose_another(route_t *route, pimento_usec_t now,
-			   const route_retry_t *retry,
-			   const route_query_t *query, route_choice_t *choice)
+static bool choose_alternative(route_t *route, pimento_usec_t now,
+			       const route_retry_t *retry,
+			       const route_query_t *query,
+			       route_choice_t *choice)
 {
 	route_query_t q = *query;
 
@@ -569,7 +574,7 @@
 		return false;
 	q.avoid = retry->refused;
 	q.avoid_count = retry->refused_count;
-	return !choose(route, now, &q, false, choice) &&
+	return !choose_endpoint(route, now, &q, false, choice) &&
 	       choice->expected <= query->time_left;
 }
 
@@ -580,7 +585,8 @@
  * of that is one that less urgent work_seconds must not outlive.
  */
 static bool is_feasible(const route_t *route, pimento_usec_t now,
-			const route_query_t *query, pimento_usec_t patience)
+			const route_query_t *query,
+			pimento_usec_t client_timeout)
 {
 	rates_t best = best_rates(route, query);
 	route_query_t q = *query;
@@ -595,11 +601,13 @@
 		if (e->target == CONFIG_TARGET_SERVICE)
 			seconds = best.service_seconds;
 		else
-			seconds = q.prompt_tokens / larger(e->prefill_rate_max,
-							   best.prefill) +
-				  q.answer_tokens / larger(e->decode_rate_max,
-							   best.decode);
-		if (seconds * FEASIBLE_FACTOR <= (double)patience)
+			seconds =
+				q.prompt_tokens /
+					max_double(e->prefill_rate_max,
+						   best.prefill) +
+				q.answer_tokens / max_double(e->decode_rate_max,
+							     best.decode);
+		if (seconds * FEASIBLE_FACTOR <= (double)client_timeout)
 			return true;
 	}
 	return false;
@@ -627,9 +635,9 @@
 	q.avoid = retry->final;
 	q.avoid_count = retry->final_count;
 	*hops = OWNER_HOPS_FINAL;
-	if (choose(route, now, &q, false, choice)) {
+	if (choose_endpoint(route, now, &q, false, choice)) {
 		*hops = OWNER_HOPS_SHED_ONLY;
-		if (choose(route, now, &q, true, choice))
+		if (choose_endpoint(route, now, &q, true, choice))
 			return false;
 	}
 	retry->final[retry->final_count++] = choice->endpoint;
@@ -637,19 +645,19 @@
 }
 
 int route_refused(route_t *route, pimento_usec_t now, route_retry_t *retry,
-		  const route_query_t *query, pimento_usec_t patience,
+		  const route_query_t *query, pimento_usec_t client_timeout,
 		  pimento_id_t endpoint, const message_refuse_t *refuse,
 		  route_choice_t *choice, uint8_t *hops)
 {
 	if (refuse->summary.endpoint)
 		route_update_summary(route, now, &refuse->summary);
 	record_refusal(retry, endpoint, refuse);
-	if (choose_another(route, now, retry, query, choice)) {
+	if (choose_alternative(route, now, retry, query, choice)) {
 		*hops = (uint8_t)retry->refused_count;
 		return 0;
 	}
 	if (query->tier + 1U < route->tier_count &&
-	    is_feasible(route, now, query, patience) &&
+	    is_feasible(route, now, query, client_timeout) &&
 	    choose_final_attempt(route, now, retry, query, choice, hops))
 		return 0;
 	return retry->reason;
--- a/src/route.h
+++ b/src/route.h
@@ -113,7 +113,7 @@
  * the request is given up.
  */
 int route_refused(route_t *route, pimento_usec_t now, route_retry_t *retry,
-		  const route_query_t *query, pimento_usec_t patience,
+		  const route_query_t *query, pimento_usec_t client_timeout,
 		  pimento_id_t endpoint, const message_refuse_t *refuse,
 		  route_choice_t *choice, uint8_t *hops);
 
--- a/test/test_grants.c
+++ b/test/test_grants.c
@@ -21,14 +21,14 @@
 	grants_finish(&grants);
 }
 
-static void request_slot(uint64_t ticket, uint64_t rank, bool late,
+static void request_slot(uint64_t ticket, uint64_t rank, bool overdue,
 			 pimento_usec_t now)
 {
 	grants_request_t request = { .endpoint = ENGINE,
 				     .address = HOST_A,
 				     .ticket = ticket,
 				     .rank = rank,
-				     .overdue = late,
+				     .overdue = overdue,
 				     .queue_timeout = 250 * PIMENTO_MSEC };
 
 	ck_assert_int_eq(grants_request(&grants, &request, now), 0);
@@ -44,7 +44,7 @@
 		       : 0;
 }
 
-static void fill(uint32_t count, pimento_usec_t now)
+static void fill_slots(uint32_t count, pimento_usec_t now)
 {
 	for (uint64_t ticket = 1; ticket <= count; ticket++) {
 		request_slot(ticket, 5, false, now);
@@ -54,7 +54,7 @@
 
 START_TEST(grants_do_not_exceed_slots)
 {
-	fill(SLOTS, NOW);
+	fill_slots(SLOTS, NOW);
 	request_slot(9, 0, false, NOW);
 	ck_assert_uint_eq(next_grant(NOW), 0);
 	ck_assert_uint_eq(grants_running(&grants, ENGINE), SLOTS);
@@ -72,7 +72,7 @@
  */
 START_TEST(slot_goes_to_most_urgent_request_of_all_hosts)
 {
-	fill(SLOTS, NOW);
+	fill_slots(SLOTS, NOW);
 	request_slot(11, 2, false, NOW);
 	request_slot(12, 0, true, NOW + 1);
 	request_slot(13, 1, false, NOW + 2);
@@ -106,7 +106,7 @@
 				       .queue_timeout = 250 * PIMENTO_MSEC,
 				       .head_start = 900 * PIMENTO_MSEC };
 
-	fill(SLOTS, NOW);
+	fill_slots(SLOTS, NOW);
 	request_slot(11, 1, false, NOW);
 	ck_assert_int_eq(grants_request(&grants, &returning, NOW + 1), 0);
 	grants_release(&grants, ENGINE, HOST_A, 1);
@@ -138,7 +138,7 @@
 				   .queue_timeout = PIMENTO_SEC };
 	pimento_usec_t now = NOW + 120 * PIMENTO_MSEC;
 
-	fill(SLOTS, NOW);
+	fill_slots(SLOTS, NOW);
 	ck_assert_int_eq(grants_request(&grants, &older, NOW), 0);
 	ck_assert_int_eq(grants_request(&grants, &newer, now), 0);
 	grants_release(&grants, ENGINE, HOST_A, 1);
@@ -150,7 +150,7 @@
 
 START_TEST(request_past_its_wait_gets_no_grant)
 {
-	fill(SLOTS, NOW);
+	fill_slots(SLOTS, NOW);
 	request_slot(9, 0, false, NOW);
 	grants_release(&grants, ENGINE, HOST_A, 1);
 	ck_assert_uint_eq(next_grant(NOW + PIMENTO_SEC), 0);
@@ -171,7 +171,7 @@
  */
 START_TEST(report_recovers_lost_release)
 {
-	fill(SLOTS, NOW);
+	fill_slots(SLOTS, NOW);
 	report(HOST_A, 1, NOW + 100 * PIMENTO_MSEC);
 	ck_assert_uint_eq(grants_running(&grants, ENGINE), SLOTS);
 	report(HOST_A, 1, NOW + PIMENTO_SEC);
@@ -225,7 +225,7 @@
 {
 	const pimento_usec_t end = NOW + GRANTS_LEASE + PIMENTO_MSEC;
 
-	fill(2, NOW);
+	fill_slots(2, NOW);
 	report(HOST_B, 2, NOW);
 	grants_expire(&grants, ENGINE, NOW + GRANTS_LEASE);
 	ck_assert_uint_eq(grants_running(&grants, ENGINE), SLOTS);
@@ -244,7 +244,7 @@
 START_TEST(report_does_not_count_grants_twice)
 {
 	report(HOST_B, 0, NOW);
-	fill(SLOTS, NOW + 5 * PIMENTO_SEC);
+	fill_slots(SLOTS, NOW + 5 * PIMENTO_SEC);
 	for (uint64_t ticket = 1; ticket <= 3; ticket++)
 		grants_release(&grants, ENGINE, HOST_A, ticket);
 	report(HOST_A, 1, NOW + 6 * PIMENTO_SEC);
@@ -254,12 +254,12 @@
 
 START_TEST(unconditional_request_is_counted)
 {
-	grants_request_t sure = { .endpoint = ENGINE,
-				  .address = HOST_A,
-				  .ticket = 1,
-				  .unconditional = true };
+	grants_request_t request = { .endpoint = ENGINE,
+				     .address = HOST_A,
+				     .ticket = 1,
+				     .unconditional = true };
 
-	ck_assert_int_eq(grants_request(&grants, &sure, NOW), 0);
+	ck_assert_int_eq(grants_request(&grants, &request, NOW), 0);
 	ck_assert_uint_eq(grants_running(&grants, ENGINE), 1);
 	ck_assert_uint_eq(next_grant(NOW), 0);
 	grants_remove_endpoint(&grants, ENGINE);
--- a/test/test_limit.c
+++ b/test/test_limit.c
@@ -87,9 +87,9 @@
 static const struct {
 	const char *name;
 	uint8_t short_tier;
-	double brief;
-	double lengthy;
-	double kept;
+	double short_work;
+	double long_work;
+	double short_share;
 } prompt_mix_cases[] = {
 	{ "no long prompts", 0, 10, 0, 0 },
 	{ "no short prompts", 0, 0, 10, 0 },
@@ -106,10 +106,10 @@
 	prompt_mix_init(&mix);
 	target = prompt_mix_target(&mix, 1);
 	prompt_mix_record(target, 0, prompt_mix_cases[_i].short_tier,
-			  prompt_mix_cases[_i].brief, false);
-	prompt_mix_record(target, 0, 1, prompt_mix_cases[_i].lengthy, true);
+			  prompt_mix_cases[_i].short_work, false);
+	prompt_mix_record(target, 0, 1, prompt_mix_cases[_i].long_work, true);
 	ck_assert_double_eq_tol(prompt_mix_short_share(target),
-				prompt_mix_cases[_i].kept, 0.001);
+				prompt_mix_cases[_i].short_share, 0.001);
 }
 END_TEST
 
--- a/test/test_owner.c
+++ b/test/test_owner.c
@@ -36,9 +36,9 @@
 	outbox_finish(&out);
 }
 
-static void reserve_of(uint64_t n, uint32_t round, uint8_t tier,
-		       pimento_id_t account, pimento_usec_t patience,
-		       uint8_t hops, pimento_usec_t now)
+static void reserve_with(uint64_t n, uint32_t round, uint8_t tier,
+			 pimento_id_t account, pimento_usec_t time_left,
+			 uint8_t hops, pimento_usec_t now)
 {
 	message_t m = { .kind = MESSAGE_RESERVE };
 
@@ -48,7 +48,7 @@
 	m.u.reserve.account = account;
 	m.u.reserve.tier = tier;
 	m.u.reserve.hops = hops;
-	m.u.reserve.time_left = patience;
+	m.u.reserve.time_left = time_left;
 	m.u.reserve.prompt_tokens = 100;
 	m.u.reserve.answer_tokens = 30;
 	ck_assert_int_eq(owner_receive(&owner, now, ENTRY, &m), 0);
@@ -56,7 +56,7 @@
 
 static void reserve(uint64_t n, uint8_t tier)
 {
-	reserve_of(n, 1, tier, ACCOUNT_LARGE, 60 * PIMENTO_SEC, 0, 0);
+	reserve_with(n, 1, tier, ACCOUNT_LARGE, 60 * PIMENTO_SEC, 0, 0);
 }
 
 static void release(uint64_t n)
@@ -161,7 +161,7 @@
 		reserve(n, 1);
 		expect_message(MESSAGE_WAIT, n, 0);
 	}
-	reserve_of(13, 1, 1, ACCOUNT_SMALL, 60 * PIMENTO_SEC, 0, 0);
+	reserve_with(13, 1, 1, ACCOUNT_SMALL, 60 * PIMENTO_SEC, 0, 0);
 	expect_message(MESSAGE_WAIT, 13, 0);
 	release(1);
 	release(2);
@@ -174,9 +174,9 @@
 START_TEST(earliest_deadline_first_within_an_account)
 {
 	fill_slots();
-	reserve_of(10, 1, 0, ACCOUNT_LARGE, 50 * PIMENTO_SEC, 0, 0);
+	reserve_with(10, 1, 0, ACCOUNT_LARGE, 50 * PIMENTO_SEC, 0, 0);
 	expect_message(MESSAGE_WAIT, 10, 0);
-	reserve_of(11, 1, 0, ACCOUNT_LARGE, 40 * PIMENTO_SEC, 0, 0);
+	reserve_with(11, 1, 0, ACCOUNT_LARGE, 40 * PIMENTO_SEC, 0, 0);
 	expect_message(MESSAGE_WAIT, 11, 0);
 	release(1);
 	expect_message(MESSAGE_GRANT, 11, 0);
@@ -231,7 +231,7 @@
  */
 START_TEST(unmeasured_endpoint_refuses_nothing)
 {
-	reserve_of(1, 1, 0, ACCOUNT_LARGE, 10 * PIMENTO_MSEC, 0, 0);
+	reserve_with(1, 1, 0, ACCOUNT_LARGE, 10 * PIMENTO_MSEC, 0, 0);
 	expect_message(MESSAGE_GRANT, 1, 0);
 }
 END_TEST
@@ -239,7 +239,7 @@
 START_TEST(infeasible_deadline_is_refused_at_once)
 {
 	learn_rates();
-	reserve_of(1, 1, 0, ACCOUNT_LARGE, 10 * PIMENTO_MSEC, 0, 0);
+	reserve_with(1, 1, 0, ACCOUNT_LARGE, 10 * PIMENTO_MSEC, 0, 0);
 	expect_message(MESSAGE_REFUSE, 1, PIMENTO_EDEADLINE);
 }
 END_TEST
@@ -252,7 +252,7 @@
 {
 	learn_rates();
 	fill_slots();
-	reserve_of(10, 1, 0, ACCOUNT_LARGE, 4 * PIMENTO_SEC, 0, 0);
+	reserve_with(10, 1, 0, ACCOUNT_LARGE, 4 * PIMENTO_SEC, 0, 0);
 	expect_message(MESSAGE_WAIT, 10, 0);
 	ck_assert_int_lt(owner_deadline(&owner), 4 * PIMENTO_SEC);
 	owner_tick(&owner, owner_deadline(&owner));
@@ -272,7 +272,8 @@
 	expect_message(MESSAGE_WAIT, 10, 0);
 	reserve(11, 1);
 	expect_message(MESSAGE_WAIT, 11, 0);
-	reserve_of(12, 1, 0, ACCOUNT_LARGE, PIMENTO_MSEC, OWNER_HOPS_FINAL, 0);
+	reserve_with(12, 1, 0, ACCOUNT_LARGE, PIMENTO_MSEC, OWNER_HOPS_FINAL,
+		     0);
 	expect_message(MESSAGE_REFUSE, 10, PIMENTO_EBUSY);
 	expect_message(MESSAGE_REFUSE, 11, PIMENTO_EBUSY);
 	expect_message(MESSAGE_REFUSE, 12, PIMENTO_EDEADLINE);
@@ -326,7 +327,7 @@
 	expect_message(MESSAGE_GRANT, 11, 0);
 	reserve(11, 0);
 	expect_message(MESSAGE_GRANT, 11, 0);
-	reserve_of(11, 2, 0, ACCOUNT_LARGE, 60 * PIMENTO_SEC, 0, 0);
+	reserve_with(11, 2, 0, ACCOUNT_LARGE, 60 * PIMENTO_SEC, 0, 0);
 	expect_message(MESSAGE_GRANT, 11, 0);
 	reserve(11, 0);
 	expect_message(MESSAGE_NONE, 0, 0);
