--- a/src/grants.c
+++ b/src/grants.c
@@ -1,20 +1,24 @@
 /*
- * The line of an endpoint is a short unsorted array: a host asks for a few of
- * its most urgent requests only, and looks at them anew several times a
- * second.
+ * The queue of an endpoint is a short unsorted array: each host sends slot
+ * requests only for a few of its most urgent requests, and reviews them several
+ * times a second.
  */
 
 #include "grants.h"
 
 #include <stdlib.h>
 
-/* A report may have been written before a grant this unconfirmed reached its host. */
+/*
+ * A report may have been sent before a grant that is younger than this reached
+ * its host, so it neither renews nor drops such a grant.
+ */
 #define GRANT_DELIVERY_MAX (300 * PIMENTO_MSEC)
 
 /*
- * Hosts notice a death up to some seconds apart. One that is asked for slots
- * keeps count before it knows that it is the owner; it would else grant all of
- * them anew at each tick.
+ * Hosts detect a failure up to some seconds apart, so a host can receive slot
+ * requests before it knows that it has become the owner. For this long after a
+ * slot request it keeps its counts; otherwise it would discard them and grant
+ * all slots again at each tick.
  */
 #define REQUESTED_RECENTLY_SPAN (3 * PIMENTO_SEC)
 
@@ -150,17 +154,21 @@
 		set_foreign(e, foreign, foreign->running - 1);
 }
 
-/* Its place in the order among equals, on this host's clock. */
+/*
+ * Start of a request's wait on this host's clock, moved back by its head start.
+ * Orders requests of equal rank.
+ */
 static pimento_usec_t order_time(const grants_entry_t *entry)
 {
 	return entry->since - entry->request.head_start;
 }
 
 /*
- * Short answers have a quarter of a second in which a place helps, and stand
- * in line for most of it. Taken for as much on time as when it asked, the one
- * that has waited longest would get the place just too late, one after the
- * other, while those behind it could still be on time.
+ * True if a waiting request can no longer meet its objective. This is checked
+ * again while it waits: requests with short answers meet their objective only
+ * if they get a slot within 250 ms, and wait for most of that. If each kept the
+ * status it arrived with, the one that waited longest would always get the slot
+ * just too late, while requests behind it could still be on time.
  */
 static bool is_overdue(const grants_entry_t *entry, pimento_usec_t now)
 {
@@ -170,7 +178,10 @@
 				    now - entry->since >= request->overdue_in);
 }
 
-/* True if a goes before b: on time, then urgent, then as its host orders. */
+/*
+ * True if a is granted before b: requests that are not overdue first, then by
+ * rank, then by the start of their wait.
+ */
 static bool precedes(const grants_entry_t *a, const grants_entry_t *b,
 		     pimento_usec_t now)
 {
@@ -243,7 +254,10 @@
 	return grown;
 }
 
-/* Renews or drops the host's grants; returns how many of them are left. */
+/*
+ * Renews a host's grants, up to the number of running requests that it
+ * reported, and drops the rest. Returns the number of its grants that remain.
+ */
 static uint32_t renew_grants(grants_endpoint_t *e, uint32_t address,
 			     uint32_t running, pimento_usec_t now)
 {
--- a/src/grants.h
+++ b/src/grants.h
@@ -2,54 +2,69 @@
 #define GRANTS_H
 
 /*
- * The slots of endpoints that this host keeps count of for all hosts. With
- * many hosts, notes are a second old; hosts that choose by them all send to
- * what was free a second ago. So each endpoint has one host that counts, its
- * owner: the others ask it for a place, wait there in one line in order of
- * urgency, and say when they have done. A grant is a lease, which the host
- * renews by reporting what it has in flight.
+ * Counts the slots of endpoints on behalf of all hosts. Gossip messages are up
+ * to a second old, and many hosts that choose by them would all send to the
+ * slots that were free a second ago. So each endpoint has one host that counts
+ * its slots, the owner: the other hosts send it slot requests, which wait there
+ * in one queue in order of urgency, and report when their requests have ended.
+ * A grant is a lease, which a host renews by reporting what it has in flight.
  *
- * A grant is advice. An owner that is frozen, cut off or gone grants nothing;
- * who asks then goes by its own view.
+ * A grant is advisory. An owner that is frozen, partitioned or dead grants
+ * nothing; the requesting host then decides by its own view of the endpoint.
  */
 
 #include "../pimentoshelf.h"
 
 /*
- * Endpoints in whose queues a request waits at once: a single one frees a slot
- * too rarely for the most urgent. Each costs three datagrams of a request that
- * has to wait.
+ * Number of endpoints in whose queues one request waits at the same time: a
+ * single endpoint frees a slot too rarely for the most urgent requests. Each
+ * further one costs three datagrams for a request that has to wait.
  */
 #define GRANTS_QUEUES_MAX 6
 
-/* A host reports this often what it has in flight, */
+/* Interval at which a host reports to an owner what it has in flight. */
 #define GRANTS_REPORT_INTERVAL (1 * PIMENTO_SEC)
-/* and what it did not report for so long is taken for over. */
+/*
+ * Grants and running requests that their host has not reported for this long
+ * are dropped.
+ */
 #define GRANTS_LEASE (3 * PIMENTO_SEC)
 
-/* Who asks, and for what. */
+/* A host's request for a slot at an endpoint. */
 typedef struct grants_request {
-	uint32_t endpoint; /* low half of its key */
-	uint32_t address; /* of the host that asks */
-	uint64_t ticket; /* chosen by that host, never used again */
-	uint64_t rank; /* urgency: less is more urgent */
-	bool overdue; /* cannot be on time any more */
-	pimento_usec_t
-		overdue_in; /* until then it can, if not late; 0 always */
-	bool unconditional; /* goes there anyway: is only to be counted */
-	pimento_usec_t queue_timeout; /* how long it waits in line */
-	/* how far it is ahead of one that comes now; below 0 behind it */
+	uint32_t endpoint; /* low half of the endpoint's key */
+	uint32_t address; /* address of the requesting host */
+	uint64_t ticket; /* chosen by the requesting host, never reused */
+	uint64_t rank; /* urgency: a lower rank is more urgent */
+	bool overdue; /* can no longer meet its objective */
+	/*
+	 * time in the queue after which it can no longer meet its objective;
+	 * 0: no limit
+	 */
+	pimento_usec_t overdue_in;
+	/* dispatched without waiting for a grant; only counted */
+	bool unconditional;
+	/* time in the queue after which it is dropped */
+	pimento_usec_t queue_timeout;
+	/*
+	 * added to its time in the queue, to order it among requests of equal
+	 * rank; negative: behind a request that arrives at the same time
+	 */
 	pimento_usec_t head_start;
 } grants_request_t;
 
 typedef struct grants_entry {
 	grants_request_t request;
 	bool granted;
-	pimento_usec_t since; /* of the grant, or of the wait */
-	pimento_usec_t renewed_at; /* its host last reported it */
+	pimento_usec_t since; /* start of the grant, or of the wait before it */
+	/* when its host last reported it as running */
+	pimento_usec_t renewed_at;
 } grants_entry_t;
 
-/* Requests of a host that were not granted here: by another owner, or none. */
+/*
+ * Running requests of a host that hold no grant of this owner: another owner
+ * granted them, or none did.
+ */
 typedef struct grants_foreign {
 	uint32_t address;
 	uint32_t running;
@@ -58,8 +73,10 @@
 
 typedef struct grants_endpoint {
 	uint32_t endpoint;
-	pimento_usec_t requested_at; /* last, by anybody */
-	uint32_t foreign_running; /* of all hosts */
+	/* time of the last slot request from any host */
+	pimento_usec_t requested_at;
+	/* sum of running over all entries of foreign */
+	uint32_t foreign_running;
 	uint32_t granted;
 	uint32_t waiting;
 	grants_entry_t *entries;
@@ -78,46 +95,63 @@
 void grants_init(grants_t *grants);
 void grants_finish(grants_t *grants);
 
-/* Takes a question in. Returns 0 or PIMENTO_ENOMEM; grants_grant_next() answers. */
+/*
+ * Adds a slot request to the queue of its endpoint. Returns 0 or
+ * PIMENTO_ENOMEM. The grant comes from grants_grant_next().
+ */
 int grants_request(grants_t *grants, const grants_request_t *request,
 		   pimento_usec_t now);
 
-/* True if the ask is still in line. */
+/*
+ * True if the slot request is still in the queue, neither granted nor dropped.
+ */
 bool grants_is_waiting(const grants_t *grants, const grants_request_t *request);
 
-/* The request is over, or does not want the place any more. */
+/*
+ * Frees the slot of a request that has ended, or withdraws a slot request that
+ * waits. If the ticket is unknown here, one request is subtracted from those
+ * that the host reported and this owner did not grant; a ticket of 0 frees
+ * nothing.
+ */
 void grants_release(grants_t *grants, uint32_t endpoint, uint32_t address,
 		    uint64_t ticket);
 
 /*
- * The next request of the line that gets one of so many slots; call until it
- * returns false, after each ask and release.
+ * Grants the first request in the queue if fewer than slots are in use, and
+ * copies it to granted. To be called until it returns false, after each slot
+ * request and each release.
  */
 bool grants_grant_next(grants_t *grants, uint32_t endpoint, uint32_t slots,
 		       pimento_usec_t now, grants_request_t *granted);
 
 /*
- * A host reports how many of its requests are in flight at an endpoint. That
- * renews its grants, drops those whose release was lost, and tells a new owner
- * what it did not grant. Returns 0 or PIMENTO_ENOMEM.
+ * Handles a host's report of how many of its requests run at an endpoint. It
+ * renews the host's grants, drops those whose release was lost, and counts
+ * requests that a previous owner granted. Returns 0 or PIMENTO_ENOMEM.
  */
 int grants_report(grants_t *grants, uint32_t endpoint, uint32_t address,
 		  uint32_t running, pimento_usec_t now);
 
-/* Drops what no host has reported for GRANTS_LEASE. */
+/* Drops grants and running requests that were not reported for GRANTS_LEASE. */
 void grants_expire(grants_t *grants, uint32_t endpoint, pimento_usec_t now);
 
-/* True if hosts ask here for its slots, or did lately. */
+/*
+ * True if this host received a slot request for the endpoint within the last
+ * seconds.
+ */
 bool grants_is_requested(const grants_t *grants, uint32_t endpoint,
 			 pimento_usec_t now);
 
-/* This host does not keep the endpoint any more. */
+/* Frees all state of an endpoint whose slots this host no longer counts. */
 void grants_remove_endpoint(grants_t *grants, uint32_t endpoint);
 
-/* True if anybody has asked or said a word about it. */
+/* True if a slot request or a report for the endpoint was received. */
 bool grants_has_endpoint(const grants_t *grants, uint32_t endpoint);
 
-/* In flight, and waiting; 0 for an endpoint that was never asked for. */
+/*
+ * Number of requests running at an endpoint, and of slot requests waiting for
+ * it; 0 for an unknown endpoint.
+ */
 uint32_t grants_running(const grants_t *grants, uint32_t endpoint);
 uint32_t grants_waiting(const grants_t *grants, uint32_t endpoint);
 
--- a/src/limit.c
+++ b/src/limit.c
@@ -1,12 +1,12 @@
 /*
  * Rates are ratios of sums that decay with each sample, so that a long answer
- * counts for more than a short one and an engine which slowed down shows after
- * a few answers. The limit of requests follows additive increase_requests and
- * multiplicative decrease_requests. What shows that too much is in flight is a line
- * inside the endpoint: first tokens come far later than the prompts in front
- * explain, or a plain service's answers take far longer than they did. The gap
- * between tokens is no such sign, for it grows with every prompt that the
- * engine reads meanwhile.
+ * counts for more than a short one and a slowdown of the engine shows after a
+ * few answers. The request limit follows additive increase, multiplicative
+ * decrease. The sign of too many requests in flight is a queue inside the
+ * endpoint: first tokens come far later than the prompts ahead explain, or the
+ * answers of a plain service take far longer than before. The gap between
+ * tokens is no such sign, because it grows with every prompt that the engine
+ * reads meanwhile.
  */
 
 #include "limit.h"
@@ -14,33 +14,40 @@
 #include <string.h>
 
 #define RATE_DECAY 0.9
-#define GAP_DECAY 0.9 /* of the old value in each new sample */
-#define GAP_TOKENS_MIN 8 /* tokens that make a sample */
-#define FIRST_TOKEN_FACTOR_MAX \
-	3.0 /* times the expected span that is still accepted */
-#define FIRST_TOKEN_SLACK_S \
-	0.5 /* seconds: a step that reads a full chunk, twice */
+#define GAP_DECAY 0.9 /* weight of the old gap in the moving average */
+#define GAP_TOKENS_MIN 8 /* tokens that a sample needs to set the minimum gap */
+/* Accepted time to the first token, as a multiple of the expected one. */
+#define FIRST_TOKEN_FACTOR_MAX 3.0
+/* Two engine steps that each read a full chunk of a prompt. */
+#define FIRST_TOKEN_SLACK_S 0.5
 /*
- * The best decays by this with each sample, to be learnt anew in minutes: were
- * it forgotten while prompts are read without a pause, the pace of an engine
- * that reads would pass for its best, and urgent requests would be refused.
+ * Decay of the best prefill rate, token gap and service time with each sample,
+ * so that they are learnt anew within minutes. With a faster decay, the speed
+ * of an engine that reads prompts without a pause would pass for its best one,
+ * and urgent requests would be refused.
  */
 #define BEST_DECAY 0.9999
 #define REQUESTS_DECREASE 0.8
-#define TOKENS_INCREASE 1.01 /* once in each pause: being full costs much */
+/*
+ * Factor, applied at most once per TOKENS_INCREASE_INTERVAL: an engine full of
+ * tokens costs much.
+ */
+#define TOKENS_INCREASE 1.01
 #define TOKENS_INCREASE_INTERVAL (30 * PIMENTO_SEC)
 #define TOKENS_DECREASE 0.85
 #define TOKENS_DECREASE_INTERVAL (5 * PIMENTO_SEC)
-#define NO_FIRST_TOKEN_SLACK_S 2.0 /* seconds: far more than a step */
-#define LIMIT_USED_MIN 0.75 /* of a limit, that makes it the one that was met */
+#define NO_FIRST_TOKEN_SLACK_S 2.0 /* far longer than one engine step */
+/* A limit used at least to this share counts as the one that was reached. */
+#define LIMIT_USED_MIN 0.75
 #define REQUESTS_DECREASE_INTERVAL (1 * PIMENTO_SEC)
-#define SERVICE_SAMPLE_WEIGHT \
-	0.05 /* of each new sample: single spans scatter widely */
-#define SERVICE_SAMPLES_MIN 40 /* samples before the mean is worth comparing */
+/* Weight of a new sample: single service times scatter widely. */
+#define SERVICE_SAMPLE_WEIGHT 0.05
+/* Samples before the mean is compared with its minimum. */
+#define SERVICE_SAMPLES_MIN 40
 #define SERVICE_FACTOR_MAX 3.0
-#define DEFAULT_PREFILL_RATE 4000.0 /* tokens a second, until learnt */
+#define DEFAULT_PREFILL_RATE 4000.0 /* tokens/s, assumed until learnt */
 #define DEFAULT_DECODE_RATE 30.0
-#define DEFAULT_SERVICE_S 0.05 /* seconds */
+#define DEFAULT_SERVICE_S 0.05 /* seconds, assumed until learnt */
 
 void limit_init(limit_t *limit, config_target_t target, uint32_t concurrency)
 {
@@ -57,7 +64,10 @@
 		limit->request_limit = limit->requests_max;
 }
 
-/* Only a limit that was used up can have been too high. */
+/*
+ * Lowers the request limit, but only if it was nearly used up: a limit that was
+ * not reached cannot have been too high.
+ */
 static void decrease_requests(limit_t *limit, pimento_usec_t now,
 			      const limit_load_t *load)
 {
@@ -89,7 +99,10 @@
 		increase_requests(limit, load);
 }
 
-/* A first token came so late that the request had no place in the batch. */
+/*
+ * Lowers the token limit after a first token so late that the request cannot
+ * have been in the engine's batch.
+ */
 static void decrease_tokens(limit_t *limit, pimento_usec_t now,
 			    const limit_load_t *load)
 {
--- a/src/limit.h
+++ b/src/limit.h
@@ -2,90 +2,109 @@
 #define LIMIT_H
 
 /*
- * What is learnt of one endpoint from the answers that it gives: how fast it
- * reads prompts and makes tokens, and how much may be in flight there at once.
+ * Learns from an endpoint's answers how fast it reads prompts and generates
+ * tokens, or, of a plain service, how fast it answers, and from that how many
+ * requests and tokens may be in flight there at once. An owner uses it to admit
+ * requests and to estimate waits.
  */
 
 #include "config.h"
 
 typedef struct limit {
 	config_target_t target;
-	uint32_t requests_max; /* the configuration's cap */
-	double request_limit; /* learnt, between 1 and requests_max */
-	double token_limit; /* learnt, of prompts and answers; 0 no limit yet */
-	double prefill_tokens; /* sums that decay, of first-token samples */
+	uint32_t requests_max; /* configured upper bound of request_limit */
+	/* learnt limit of requests in flight, from 1 to requests_max */
+	double request_limit;
+	/* learnt limit of prompt and answer tokens in flight; 0: none yet */
+	double token_limit;
+	/* decaying sum of prompt tokens, over first-token samples */
+	double prefill_tokens;
 	double prefill_seconds;
-	double token_gap; /* seconds between tokens, 0 unknown */
-	double token_gap_min; /* least that it has been lately: no prompt is read */
-	double prefill_rate_max; /* most that the prefill rate has been lately */
-	double service_mean; /* seconds of a plain service's answer, 0 unknown */
-	double service_min; /* least that it has been lately */
-	uint32_t service_samples; /* samples of it */
-	pimento_usec_t requests_decreased_at; /* when requests last went down */
-	pimento_usec_t tokens_changed_at; /* when tokens last changed */
+	double token_gap; /* seconds between tokens of one stream, 0: unknown */
+	/* recent minimum of the gap, as while no prompt is read */
+	double token_gap_min;
+	/* recent maximum of the prefill rate, tokens/s */
+	double prefill_rate_max;
+	/* mean seconds of a plain service's answer, 0: unknown */
+	double service_mean;
+	double service_min; /* recent minimum of service_mean */
+	uint32_t service_samples; /* samples in service_mean */
+	/* when request_limit was last decreased */
+	pimento_usec_t requests_decreased_at;
+	pimento_usec_t tokens_changed_at; /* when token_limit last changed */
 } limit_t;
 
 void limit_init(limit_t *limit, config_target_t target, uint32_t concurrency);
-/* The configuration changed the cap; what was learnt stays. */
+/* Applies a new configured upper bound; everything learnt is kept. */
 void limit_set_concurrency(limit_t *limit, uint32_t concurrency);
 
-/* What is in flight at an endpoint. */
+/* Load in flight at an endpoint. */
 typedef struct limit_load {
 	uint32_t requests;
-	uint64_t tokens; /* of prompts and answers, as estimated */
+	uint64_t tokens; /* prompt and answer tokens, as estimated */
 } limit_load_t;
 
 /*
- * A first token came after span; tokens counts the prompt and all prompts that
- * were ahead of it at the endpoint.
+ * A request's first token came after span. tokens counts its prompt and all
+ * prompts that were ahead of it at the endpoint.
  */
 void limit_observe_first_token(limit_t *limit, pimento_usec_t now,
 			       uint32_t tokens, pimento_usec_t span,
 			       const limit_load_t *load);
 
 /*
- * No first token yet after span. Returns true if that is so long that the
- * request can have no place in the batch: the endpoint is full of tokens.
+ * A request has no first token after span. Returns true, and lowers the token
+ * limit, if the span is so long that the request cannot be in the engine's
+ * batch: the engine's memory is full of tokens.
  */
 bool limit_check_first_token(limit_t *limit, pimento_usec_t now,
 			     uint32_t tokens, pimento_usec_t span,
 			     const limit_load_t *load);
 
-/* True if so many tokens may be in flight. */
+/* True if this many prompt and answer tokens may be in flight. */
 bool limit_tokens_fit(const limit_t *limit, uint64_t tokens);
 
-/* tokens more came in span, of one stream. */
+/* One stream generated this many tokens more within span. */
 void limit_observe_decode(limit_t *limit, uint32_t tokens, pimento_usec_t span);
 
-/* A plain service answered after span, with running requests in flight. */
+/* A plain service answered after span while load was in flight. */
 void limit_observe_service(limit_t *limit, pimento_usec_t now,
 			   pimento_usec_t span, const limit_load_t *load);
 
-/* The endpoint failed a request that it had taken. */
+/*
+ * The endpoint failed a request that it had accepted: lowers the request limit.
+ */
 void limit_observe_failure(limit_t *limit, pimento_usec_t now);
 
-/* Prompt tokens a second, and tokens a second of one stream; 0 unknown. */
+/*
+ * Prompt tokens per second, and answer tokens per second of one stream; 0:
+ * unknown.
+ */
 double limit_prefill_rate(const limit_t *limit);
 double limit_decode_rate(const limit_t *limit);
 
-/* Requests that may be in flight, at least 1. */
+/* Number of requests that may be in flight, at least 1. */
 uint32_t limit_requests(const limit_t *limit);
 
 /*
- * Span that a prompt takes to be read with ahead tokens in front, and that the
- * rest of an answer takes if no prompt is read meanwhile.
+ * Time to read a prompt with ahead prompt tokens queued before it, and time to
+ * generate an answer of this many tokens while the engine reads no prompt.
+ * Default rates are assumed until samples have come.
  */
 pimento_usec_t limit_prefill_span(const limit_t *limit, uint32_t ahead,
 				  uint32_t prompt);
 pimento_usec_t limit_decode_span(const limit_t *limit, uint32_t answer);
 
-/* Span from dispatch to whole answer with ahead prompt tokens in front. */
+/*
+ * Time from dispatch to the complete answer, with ahead prompt tokens queued
+ * before the request.
+ */
 pimento_usec_t limit_service_span(const limit_t *limit, uint32_t ahead,
 				  uint32_t prompt, uint32_t answer);
 
 /*
- * Part of the endpoint's time that a request uses up: prompts are read one
- * after another, but answers are made side by side in slots.
+ * Share of the endpoint's time that a request uses up: prompts are read one
+ * after another, but answers are generated side by side in slots.
  */
 pimento_usec_t limit_work(const limit_t *limit, uint32_t prompt,
 			  uint32_t answer);
--- a/src/owner.c
+++ b/src/owner.c
@@ -1,9 +1,10 @@
 /*
- * The owner is the only one who grants slots of its endpoints, so it knows
- * what is in flight there exactly, whatever late load reports say. It holds
- * reservations, never requests: whatever it forgets, gets twice or takes back
- * costs a slot for a short span, never an answer, because only the entry that
- * holds a request dispatches it, and only on a grant of the round it waits for.
+ * Only the owner grants slots of its endpoints, so it knows exactly what is in
+ * flight there, however old the endpoints' load reports are. It holds
+ * reservations, never requests. A reservation that it loses, receives twice or
+ * revokes costs a slot for a short time but never an answer, because only the
+ * entry that holds a request dispatches it, and only on a grant of the round
+ * that it waits for.
  */
 
 #include "owner.h"
@@ -16,9 +17,13 @@
 #define RETRY_AFTER_MIN (100 * PIMENTO_MSEC)
 #define RETRY_AFTER_MAX (60 * PIMENTO_SEC)
 #define ENDPOINTS_INITIAL 8
-#define REFUSAL_MARGIN (100 * PIMENTO_MSEC) /* for all last visits */
+/* Time for the final attempts at all owners. */
+#define REFUSAL_MARGIN (100 * PIMENTO_MSEC)
 
-/* Waiting takes longer than it seems: what is more urgent still comes. */
+/*
+ * Requests of more urgent tiers that arrive later lengthen a wait, so the
+ * estimate is multiplied by this.
+ */
 #define WAIT_ESTIMATE_FACTOR 1.25
 
 int owner_init(owner_t *owner, const owner_options_t *options, outbox_t *out)
@@ -113,8 +118,9 @@
 }
 
 /*
- * Another endpoint of ours that might take what this one refuses: one with
- * less urgent work waiting, which has to go first, or with the shortest line.
+ * Returns another endpoint of this owner that might accept what this one
+ * refuses, 0 if there is none: the one with the shortest wait for the tier,
+ * which ignores work of lower priority.
  */
 static pimento_id_t find_alternative(const owner_t *owner, pimento_usec_t now,
 				     const owner_endpoint_t *refusing,
@@ -148,7 +154,10 @@
 		wait = RETRY_AFTER_MIN;
 	if (wait > RETRY_AFTER_MAX)
 		wait = RETRY_AFTER_MAX;
-	/* Spread, or all who are refused now come back together. */
+	/*
+	 * Random, so that callers refused at the same time do not all retry at
+	 * once.
+	 */
 	return wait + (pimento_usec_t)(pimento_random_unit(&owner->random) *
 				       (double)wait);
 }
@@ -172,7 +181,7 @@
 	outbox_put(owner->out, to, &m);
 }
 
-/* Takes a reservation out of everything and frees it. */
+/* Removes a reservation from all queues and tables and frees it. */
 static void discard_reservation(owner_t *owner, reservation_t *r)
 {
 	if (r->state == RESERVATION_WAITING) {
@@ -209,10 +218,10 @@
 }
 
 /*
- * Grants in the order of the line. A request that finds no slot holds up all
- * behind it; one that only has to wait until prompts are read lets shorter
- * prompts pass, which does not put it off: they never fill the span that has
- * to be free for it.
+ * Grants waiting requests in queue order, most urgent tier first. A request
+ * that finds no free slot blocks all behind it. One that only waits until
+ * earlier prompts are read lets shorter prompts pass: these do not delay it,
+ * because they never fill the prefill time that it needs free.
  */
 static void grant_waiting_requests(owner_t *owner, pimento_usec_t now,
 				   owner_endpoint_t *e)
@@ -229,8 +238,8 @@
 }
 
 /*
- * Refuses the end of each line that the line in front of it leaves no time
- * for, least urgent first, so that its callers know at once.
+ * Refuses queued requests that the work queued before them leaves no time for,
+ * least urgent first, so that their callers learn of it at once.
  */
 static void refuse_overdue(owner_t *owner, pimento_usec_t now,
 			   owner_endpoint_t *e)
@@ -270,7 +279,10 @@
 			PIMENTO_EBUSY);
 }
 
-/* Sheds what is less urgent than a request that is given up next. */
+/*
+ * Refuses everything of lower priority than a request that is about to be
+ * rejected, at all endpoints of its target.
+ */
 static void shed_lower_tiers(owner_t *owner, pimento_usec_t now,
 			     const owner_endpoint_t *reference, uint8_t tier)
 {
@@ -299,9 +311,10 @@
 }
 
 /*
- * From when on it can no longer finish in time. At the deadline itself, as with
- * an endpoint whose speed is not known, its caller would be gone before the
- * refusal and what is less urgent were settled.
+ * Time from which on a waiting request can no longer finish in time. While the
+ * endpoint's speed is unknown this would be the deadline itself, and the caller
+ * would be gone before the refusal arrived and requests of lower priority were
+ * shed. REFUSAL_MARGIN leaves time for both.
  */
 static pimento_usec_t latest_start(const reservation_t *r)
 {
@@ -342,7 +355,10 @@
 	return r;
 }
 
-/* What to refuse a new reservation with at once; 0 to take it. */
+/*
+ * Returns the error with which a new reservation is refused at once, 0 to
+ * accept it.
+ */
 static int refusal_reason(const owner_t *owner, pimento_usec_t now,
 			  const owner_endpoint_t *e,
 			  const message_reserve_t *params)
@@ -431,7 +447,10 @@
 	reserve_new(owner, now, from, params);
 }
 
-/* What came since the last word on this dispatch. */
+/*
+ * Updates the learnt rates with the tokens that a dispatch made since its last
+ * report.
+ */
 static void record_rates(reservation_t *r, pimento_usec_t now,
 			 uint32_t answer_tokens, pimento_usec_t first_token,
 			 pimento_usec_t decode)
@@ -445,7 +464,7 @@
 		limit_observe_first_token(
 			limit, now, r->prefill_ahead + r->params.prompt_tokens,
 			first_token, &load);
-	/* Without a first token the span is that of all tokens. */
+	/* If the first token's time is unknown, decode covers all tokens. */
 	if (answer_tokens > r->answer_tokens && decode > r->decode_span &&
 	    (r->answer_tokens || first_token <= 0))
 		limit_observe_decode(limit, answer_tokens - r->answer_tokens,
@@ -485,9 +504,9 @@
 }
 
 /*
- * A dispatch that this owner knows nothing of: granted by the owner before, or
- * its grant's lifetime ended here while the entry's word was on its way.
- * Uncounted it would let one request too many in at the endpoint.
+ * Counts a dispatch that this owner has no reservation for: the previous owner
+ * granted it, or its grant expired here while the entry's message was in
+ * transit. Uncounted, it would let one request too many into the endpoint.
  */
 static void adopt_dispatch(owner_t *owner, pimento_usec_t now,
 			   pimento_id_t from,
@@ -562,7 +581,7 @@
 	}
 }
 
-/* Refuses all that waits at an endpoint, least urgent first. */
+/* Refuses all requests that wait for an endpoint, least urgent first. */
 static void refuse_all(owner_t *owner, pimento_usec_t now, owner_endpoint_t *e,
 		       int reason)
 {
@@ -686,7 +705,10 @@
 	grant_waiting_requests(owner, now, e);
 }
 
-/* The time of a reservation has come. */
+/*
+ * Handles a reservation's time-out: the latest start of a waiting one, the end
+ * of the lifetime of a grant, or the end of a lease.
+ */
 static void handle_due(owner_t *owner, pimento_usec_t now, reservation_t *r)
 {
 	owner_endpoint_t *e = r->endpoint;
--- a/src/prompt_mix.c
+++ b/src/prompt_mix.c
@@ -1,10 +1,11 @@
 /*
- * An engine that reads a long prompt answers nobody quickly meanwhile, and
- * cannot be told to stop without throwing the reading away. If long prompts
- * may go anywhere, then at moderate load most engines are reading one at any
- * time, and urgent requests find no quick endpoint however many slots are
- * free. With endpoints of their own they share the others' time with nobody.
- * The work of both kinds is measured, so that neither side idles.
+ * While an engine reads a long prompt, it answers no other request quickly, and
+ * the prompt cannot be interrupted without losing the work done on it. If long
+ * prompts could go to any endpoint, then at moderate load most engines would be
+ * reading one at any time, and urgent requests would find no quick endpoint
+ * however many slots were free. So long prompts get endpoints of their own. The
+ * work of both kinds is measured, so that neither group of endpoints is idle
+ * while the other is busy.
  */
 
 #include "prompt_mix.h"
@@ -14,7 +15,8 @@
 
 #define HALF_LIFE (60 * PIMENTO_SEC)
 #define DECAY_INTERVAL (200 * PIMENTO_MSEC)
-#define WORK_SHARE_MIN 0.01 /* a part of work that is not worth an endpoint */
+/* Share of the work below which no endpoint is set apart. */
+#define WORK_SHARE_MIN 0.01
 
 void prompt_mix_init(prompt_mix_t *mix)
 {
--- a/src/prompt_mix.h
+++ b/src/prompt_mix.h
@@ -2,9 +2,10 @@
 #define PROMPT_MIX_H
 
 /*
- * Task assignment by size: which of a target's endpoints take long prompts. The
- * others are kept free of them for whatever else is asked, in proportion to the
- * work that each kind brings.
+ * Task assignment by size: decides which share of a target's endpoints is kept
+ * free of long prompts, in proportion to the work that short and long prompts
+ * bring. Long prompts are sent to the other endpoints while one of these is
+ * usable.
  */
 
 #include "config.h"
@@ -12,9 +13,9 @@
 #define PROMPT_MIX_TARGETS_MAX 32
 
 typedef struct prompt_mix_target {
-	pimento_id_t name; /* hash of the target's name; 0 unused */
-	double short_work
-		[PIMENTO_TIERS_MAX]; /* work of short prompts, decaying */
+	pimento_id_t name; /* hash of the target's name; 0: entry unused */
+	/* work of requests with short prompts, in seconds, decaying */
+	double short_work[PIMENTO_TIERS_MAX];
 	double long_work[PIMENTO_TIERS_MAX];
 	pimento_usec_t decayed_at;
 } prompt_mix_target_t;
@@ -25,19 +26,22 @@
 
 void prompt_mix_init(prompt_mix_t *mix);
 
-/* The slot of a target, NULL when there are too many. */
+/*
+ * Returns the entry of a target, added if it is new; NULL if the table is full.
+ */
 prompt_mix_target_t *prompt_mix_target(prompt_mix_t *mix, pimento_id_t name);
 
-/* One more request came: work in seconds of an ordinary endpoint. */
+/* Records a new request. work is in seconds of a typical endpoint's time. */
 void prompt_mix_record(prompt_mix_target_t *target, pimento_usec_t now,
 		       uint8_t tier, double work, bool is_long);
 
-/* Least urgent tier that long prompts come in, 0 when there are none. */
+/* Least urgent tier that has long prompts, 0 if none has. */
 uint8_t prompt_mix_lowest_long_tier(const prompt_mix_target_t *target);
 
 /*
- * The part of all capacity to be kept free of long prompts, in [0, 1]: that
- * which short prompts need, of the tiers not less urgent than long ones.
+ * Share of the total capacity to keep free of long prompts, in [0, 1]: the
+ * share that short prompts need, in the tiers at least as urgent as the least
+ * urgent one with long prompts.
  */
 double prompt_mix_short_share(const prompt_mix_target_t *target);
 
--- a/src/queue.c
+++ b/src/queue.c
@@ -1,8 +1,9 @@
 /*
- * Start-time fair queueing between the accounts of a tier: each flow counts
- * the work it was granted, divided by its weight, and the flow with the least
- * goes next. A flow that was empty starts at the tier's virtual clock, so that
- * an account which was away has no credit to starve the others with.
+ * Start-time fair queueing between the accounts of a tier: each flow counts the
+ * work that it was granted, divided by its weight, and the flow with the least
+ * is served next. A flow that was empty starts at the tier's virtual time, so
+ * that an account which was idle has gained no credit with which to starve the
+ * others.
  */
 
 #include "queue.h"
@@ -51,7 +52,7 @@
 	memset(queue, 0, sizeof(*queue));
 }
 
-/* Index of the first flow whose account is not below the given one. */
+/* Index of the first flow whose account id is not below the given one. */
 static uint32_t flow_index(const queue_tier_t *tier, pimento_id_t account)
 {
 	uint32_t low = 0;
--- a/src/queue.h
+++ b/src/queue.h
@@ -2,30 +2,33 @@
 #define QUEUE_H
 
 /*
- * The waiting line of one endpoint: by tier; within a tier fair between
- * accounts by weight; within an account by deadline. Every step is O(log n) in
- * what waits and in the accounts that have something waiting.
+ * The wait queue of one endpoint: ordered by tier, within a tier by weighted
+ * fair queueing between accounts, within an account by deadline. Every
+ * operation is O(log n) in the number of waiting items and of accounts with
+ * waiting items.
  */
 
 #include "heap.h"
 #include "message.h"
 
-/* Embedded in what waits; the owner of the item keeps the memory. */
+/* Embedded in the waiting object, which the caller allocates and frees. */
 typedef struct queue_item {
 	uint8_t tier;
 	pimento_id_t account;
 	pimento_usec_t deadline;
-	pimento_usec_t work; /* expected time of service */
-	uint32_t earliest_index; /* in its flow, earliest deadline first */
-	uint32_t latest_index; /* in its flow, latest deadline first */
+	/* endpoint time that the request is expected to use */
+	pimento_usec_t work;
+	uint32_t earliest_index; /* index in queue_flow_t.earliest */
+	uint32_t latest_index; /* index in queue_flow_t.latest */
 } queue_item_t;
 
-/* What one account has waiting in one tier. */
+/* The waiting items of one account in one tier. */
 typedef struct queue_flow {
 	pimento_id_t account;
 	uint32_t weight;
-	int64_t virtual_service; /* work granted over weight, in virtual time */
-	pimento_usec_t work; /* of all that waits here */
+	/* work granted so far divided by weight, in virtual time */
+	int64_t virtual_service;
+	pimento_usec_t work; /* sum over the waiting items */
 	heap_t earliest;
 	heap_t latest;
 	uint32_t service_index;
@@ -33,12 +36,15 @@
 } queue_flow_t;
 
 typedef struct queue_tier {
-	queue_flow_t **flows; /* by account, ascending */
+	queue_flow_t **flows; /* sorted by account, ascending */
 	uint32_t flow_count;
 	uint32_t flow_capacity;
-	heap_t by_service; /* flows with something waiting, least served first */
-	heap_t by_backlog; /* the same, most work for its weight first */
-	int64_t virtual_time; /* virtual time: served of the flow granted last */
+	/* flows with waiting items, least virtual_service first */
+	heap_t by_service;
+	/* flows with waiting items, most waiting work per weight first */
+	heap_t by_backlog;
+	/* virtual_service of the flow granted last, before that grant */
+	int64_t virtual_time;
 	uint32_t count;
 	pimento_usec_t work;
 } queue_tier_t;
@@ -49,30 +55,35 @@
 } queue_t;
 
 void queue_init(queue_t *queue);
-void queue_finish(queue_t *queue); /* items must have been removed */
+void queue_finish(queue_t *queue); /* All items must have been removed. */
 
 void queue_item_init(queue_item_t *item);
 
-/* weight is the account's share, at least 1. Returns 0 or PIMENTO_ENOMEM. */
+/*
+ * Adds an item, initialised by queue_item_init(), with its tier, account,
+ * deadline and work set. weight is the account's weight, at least 1. Returns 0
+ * or PIMENTO_ENOMEM.
+ */
 int queue_put(queue_t *queue, queue_item_t *item, uint32_t weight);
 void queue_remove(queue_t *queue, queue_item_t *item);
 
-/* Removes an item that is granted: its account pays for the work. */
+/* Removes an item that is granted and charges its work to its account. */
 void queue_grant(queue_t *queue, queue_item_t *item);
 
-/* Whose turn it is in a tier; NULL when nothing waits there. */
+/* Returns the item to grant next in a tier; NULL if none is waiting. */
 queue_item_t *queue_next(const queue_t *queue, uint8_t tier);
 
 /*
- * Who goes first when something must go: of the account with the most waiting
- * for its weight, the one with the latest deadline.
+ * Returns the item to evict first from a tier, NULL if none is waiting: of the
+ * account with the most waiting work per weight, the one with the latest
+ * deadline.
  */
 queue_item_t *queue_victim(const queue_t *queue, uint8_t tier);
 
-/* Least urgent tier with something waiting, -1 when there is none. */
+/* Least urgent tier with waiting items, -1 if the queue is empty. */
 int queue_lowest_tier(const queue_t *queue);
 
-/* Work waiting in this tier and in more urgent ones. */
+/* Sum of the work waiting in this tier and in more urgent ones. */
 pimento_usec_t queue_work(const queue_t *queue, uint8_t tier);
 
 #endif
--- a/src/reservation.c
+++ b/src/reservation.c
@@ -1,6 +1,7 @@
 /*
- * A chained hash table that doubles when it is full. A request id holds a
- * random incarnation and a counter, so that mixing its two halves spreads.
+ * A chained hash table that doubles when it holds one reservation per chain. A
+ * request id consists of a random incarnation and a counter, so multiplying the
+ * xor of both halves by an odd constant spreads the ids well.
  */
 
 #include "reservation.h"
@@ -40,7 +41,9 @@
 	return (uint32_t)(h >> 32) & (size - 1);
 }
 
-/* Without memory the chains just stay longer. */
+/*
+ * Doubles the table. If memory runs out it stays as it is, with longer chains.
+ */
 static void grow_table(reservation_table_t *table)
 {
 	uint32_t size = table->size * 2;
--- a/src/reservation.h
+++ b/src/reservation.h
@@ -2,8 +2,8 @@
 #define RESERVATION_H
 
 /*
- * One request's place at one owner, from the reservation to the release, and
- * the table that finds it by the request's id.
+ * A request's reservation at an owner, from MESSAGE_RESERVE to its release, and
+ * the hash table that finds it by request id.
  */
 
 #include "queue.h"
@@ -12,44 +12,55 @@
 
 typedef enum reservation_state {
 	RESERVATION_WAITING = 1,
-	RESERVATION_GRANTED, /* no sign yet that it was dispatched */
-	RESERVATION_RUNNING /* dispatched, said MESSAGE_PROGRESS */
+	RESERVATION_GRANTED, /* granted, no MESSAGE_PROGRESS received yet */
+	RESERVATION_RUNNING /* dispatched: MESSAGE_PROGRESS received */
 } reservation_state_t;
 
 typedef struct reservation {
-	queue_item_t item; /* first member: the queue hands it back */
+	/* first member: queue items are cast to reservation_t */
+	queue_item_t item;
 	message_reserve_t params;
 	pimento_id_t entry;
 	owner_endpoint_t *endpoint;
 	reservation_state_t state;
-	pimento_usec_t granted_at; /* when */
-	pimento_usec_t due; /* latest start, end of lifetime or of lease */
-	uint32_t prefill_ahead; /* prompt tokens in front when granted */
-	uint32_t answer_tokens; /* tokens of the answer so far */
-	pimento_usec_t decode_span; /* span of its making, as last said */
-	bool has_first_token; /* the prompt is read */
-	uint32_t due_index; /* in the owner's heap of times */
-	struct reservation *next; /* in the table's chain */
-	struct reservation *older; /* in the endpoint's list in flight */
+	pimento_usec_t granted_at;
+	/* latest start; end of the grant's lifetime; end of the lease */
+	pimento_usec_t due;
+	/* unread prompt tokens of earlier requests when this one was granted */
+	uint32_t prefill_ahead;
+	uint32_t answer_tokens; /* answer tokens generated so far */
+	/* decode time, as last reported by the entry */
+	pimento_usec_t decode_span;
+	bool has_first_token; /* the first token came, so the prompt is read */
+	uint32_t due_index; /* index in owner_t.due */
+	struct reservation *next; /* next in the hash table's chain */
+	/* granted before this one, in the endpoint's list in_flight */
+	struct reservation *older;
 	struct reservation *newer;
 } reservation_t;
 
 typedef struct reservation_table {
 	reservation_t **chains;
-	uint32_t size; /* a power of two */
+	uint32_t size; /* number of chains, a power of two */
 	uint32_t count;
 } reservation_table_t;
 
 int reservation_table_init(reservation_table_t *table);
-/* Frees every reservation that is left. */
+/* Frees the table and every reservation still in it. */
 void reservation_table_finish(reservation_table_t *table);
 
-/* Returns a cleared reservation for a request that has none, or NULL. */
+/*
+ * Adds a zeroed reservation for a request that has none; the table owns it.
+ * Returns NULL if memory runs out.
+ */
 reservation_t *reservation_add(reservation_table_t *table,
 			       pimento_reqid_t request);
 reservation_t *reservation_find(const reservation_table_t *table,
 				pimento_reqid_t request);
-/* Frees it; it must be in no heap or list any more. */
+/*
+ * Removes a reservation from the table and frees it. It must have been removed
+ * from all heaps and lists.
+ */
 void reservation_remove(reservation_table_t *table, reservation_t *r);
 
 #endif
--- a/src/route.c
+++ b/src/route.c
@@ -1,9 +1,10 @@
 /*
- * The entry picks the endpoint that should finish the request first: the queue_seconds
- * in front of it, then reading the prompt less what is probably cached, then
- * making the answer. Owners put a summary on every answer, so what is known is
- * fresh where requests go; what this entry sent since is added to it, or all
- * requests between two summaries would go to the same endpoint.
+ * The entry picks the endpoint that should finish the request first. The
+ * estimate adds the wait until a grant, the time to read the part of the prompt
+ * that is probably not cached, and the time to generate the answer. Owners put
+ * a summary on every reply, so the data is fresh for endpoints in use. Work
+ * sent by this entry since the last summary is added; otherwise all requests
+ * between two summaries would go to the same endpoint.
  */
 
 #include "route.h"
@@ -13,24 +14,32 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define EWMA_KEEP 0.8 /* of the old value in each new sample */
+#define EWMA_KEEP 0.8 /* weight of the old value in the moving average */
 #define FAILED_AVOID_SPAN (2 * PIMENTO_SEC)
 #define MEASURED_SPAN (30 * PIMENTO_SEC)
-#define PREFIX_TABLE_SIZE 4096 /* a power of two */
+#define PREFIX_TABLE_SIZE 4096 /* entries, a power of two */
 #define PREFIX_LIFETIME (300 * PIMENTO_SEC)
-#define PREFIX_CACHED_SHARE 0.5 /* of a prompt, taken to be shared */
-#define DEFAULT_PREFILL_RATE \
-	4000.0 /* tokens a second, until anything is known */
+/* Share of a prompt with a known prefix that is assumed to be cached. */
+#define PREFIX_CACHED_SHARE 0.5
+/* Tokens/s, assumed until a rate is known. */
+#define DEFAULT_PREFILL_RATE 4000.0
 #define DEFAULT_DECODE_RATE 30.0
-#define DEFAULT_SERVICE_S 0.05 /* seconds */
+#define DEFAULT_SERVICE_S 0.05 /* seconds, assumed until measured */
 #define OWNER_CHANGES_MAX 4
 #define JITTER 0.05
 #define BEST_DECAY 0.9999
-#define FEASIBLE_FACTOR (0.3 * PIMENTO_SEC) /* of the span by the best rates */
-#define SHORT_ONLY_TIME_SHARE 0.4 /* of the patience that is quick enough */
-#define LONG_PROMPT_S 1.0 /* seconds of reading that make a prompt a long one */
+/* Factor on the estimated seconds by the best rates; gives microseconds. */
+#define FEASIBLE_FACTOR (0.3 * PIMENTO_SEC)
+/*
+ * Share of the time left within which an endpoint without long prompts must
+ * finish.
+ */
+#define SHORT_ONLY_TIME_SHARE 0.4
+/* Prompts that take longer to read than this, in seconds, are long. */
+#define LONG_PROMPT_S 1.0
 #define PARTITION_INTERVAL (500 * PIMENTO_MSEC)
-#define DECODE_PARALLELISM 16 /* answers made at once, roughly */
+/* Typical number of answers that an engine generates at once. */
+#define DECODE_PARALLELISM 16
 
 struct route_endpoint {
 	pimento_id_t id;
@@ -39,17 +48,21 @@
 	pimento_id_t target_id;
 	uint32_t concurrency;
 	uint32_t context_tokens;
-	message_summary_t summary; /* epoch 0: none yet */
-	double prefill_rate_max; /* rates of its quickest time lately */
+	/* latest from the owner; epoch 0: none received */
+	message_summary_t summary;
+	/* recent maximum of the owner's reported rate, tokens/s */
+	double prefill_rate_max;
 	double decode_rate_max;
-	double prefill; /* measured here, tokens a second, 0 unknown */
+	double prefill; /* rate measured by this entry, tokens/s, 0: unknown */
 	double decode;
-	double service_seconds; /* seconds, plain services */
+	/* measured time of a plain service's answer, 0: unknown */
+	double service_seconds;
 	pimento_usec_t measured_at;
-	double pending_work; /* seconds of work_seconds, by this entry since the summary */
+	/* seconds of work that this entry sent since the summary */
+	double pending_work;
 	pimento_usec_t failed_until;
 	bool leaving;
-	bool short_only; /* free of long prompts */
+	bool short_only; /* kept free of long prompts */
 };
 
 struct route_prefix {
@@ -243,8 +256,10 @@
 		e->failed_until = now + FAILED_AVOID_SPAN;
 }
 
-/* The best rates known of any endpoint: what an unknown one is taken to have,
- * so that it is tried. */
+/*
+ * Best rates known of any endpoint that serves the target. Endpoints without
+ * measurements are assumed to have them, so that they are tried.
+ */
 typedef struct rates {
 	double prefill;
 	double decode;
@@ -263,7 +278,7 @@
 					  : e->decode;
 }
 
-/* Seconds of a plain service_seconds's answer. */
+/* Seconds that a plain service takes for an answer, 0: unknown. */
 static double service_seconds_of(const route_endpoint_t *e)
 {
 	return e->summary.decode_rate > 0 ? 1 / (double)e->summary.decode_rate
@@ -301,7 +316,9 @@
 	return best;
 }
 
-/* Seconds of service_seconds without any queue_seconds. */
+/*
+ * Seconds from grant to complete answer, without the wait in the owner's queue.
+ */
 static double service_seconds(const route_t *route, pimento_usec_t now,
 			      const route_query_t *query,
 			      const route_endpoint_t *e, const rates_t *best)
@@ -316,12 +333,16 @@
 		return service_seconds_of(e) > 0 ? service_seconds_of(e)
 						 : best->service_seconds;
 	prompt -= cached_tokens(route, now, query, e->id);
-	if (!query->tier) /* for the others they are in the wait */
+	/* in other tiers the owner's wait_ms includes unread prompts */
+	if (!query->tier)
 		prompt += e->summary.waiting_tokens;
 	return prompt / prefill + query->answer_tokens / decode;
 }
 
-/* Seconds until it is granted, as the owner said, and what was sent since. */
+/*
+ * Seconds until a grant: the wait in the owner's last summary, plus the work
+ * that this entry sent since.
+ */
 static double queue_seconds(const route_query_t *query,
 			    const route_endpoint_t *e)
 {
@@ -347,7 +368,7 @@
 	       query->prompt_tokens + query->answer_tokens <= e->context_tokens;
 }
 
-/* Seconds that an ordinary endpoint reads this prompt. */
+/* Seconds to read this prompt at the best known rate. */
 static double prefill_seconds(const route_query_t *query, const rates_t *best)
 {
 	return query->prompt_tokens / best->prefill;
@@ -360,9 +381,10 @@
 }
 
 /*
- * Keeps the first endpoints of a target that make up its part. In the order of
- * their ids, on which all entries agree: were it the order of measured rates,
- * two entries would send long and short prompts to the same endpoint.
+ * Sets apart the first endpoints of a target for short prompts, up to
+ * short_share of its prefill capacity. The list is sorted by id, on which all
+ * entries agree; if it were sorted by measured rates, two entries could send
+ * long and short prompts to the same endpoint.
  */
 static void partition_target(route_endpoint_t **list, uint32_t count,
 			     double short_share)
@@ -381,7 +403,10 @@
 	}
 }
 
-/* Divides the endpoints of every target anew, now and then. */
+/*
+ * Divides the endpoints of every target between long and short prompts, at most
+ * once per PARTITION_INTERVAL.
+ */
 static void partition_endpoints(route_t *route, pimento_usec_t now)
 {
 	route_endpoint_t **list;
@@ -409,7 +434,10 @@
 	free(list);
 }
 
-/* Which endpoints a choice is subset. */
+/*
+ * The endpoints among which to choose: all, those kept free of long prompts, or
+ * the others.
+ */
 typedef enum subset { SUBSET_ALL, SUBSET_SHORT_ONLY, SUBSET_OTHERS } subset_t;
 
 static bool is_in_subset(const route_endpoint_t *e, subset_t subset)
@@ -444,10 +472,11 @@
 }
 
 /*
- * A short request that is more urgent than long ones goes where no long prompt
- * comes while that is quick enough, even if choose_another endpoint is quicker just
- * now: there it would hold up the next long prompt, which may not use up its
- * slack.
+ * True if a request with a short prompt, in a tier at least as urgent as the
+ * least urgent one with long prompts, prefers endpoints kept free of long
+ * prompts. They are chosen as long as they are quick enough, even if another
+ * endpoint is quicker at the moment: there the request would delay the next
+ * long prompt, which may not use up the slack of answers in progress.
  */
 static bool prefers_short_only(route_t *route, const route_query_t *query)
 {
@@ -474,7 +503,7 @@
 	return pick_fastest(route, now, query, best, SUBSET_ALL, least);
 }
 
-/* Seconds of an ordinary endpoint's time. */
+/* Seconds of endpoint time that a request uses up, at the best known rates. */
 static double work_seconds(const route_query_t *query, const rates_t *best)
 {
 	if (query->target == CONFIG_TARGET_SERVICE)
@@ -562,7 +591,10 @@
 		retry->refused[retry->refused_count++] = endpoint;
 }
 
-/* An endpoint that should still finish it in time. */
+/*
+ * Chooses an endpoint that has not refused the request and should finish it in
+ * time; false if there is none.
+ */
 static bool choose_alternative(route_t *route, pimento_usec_t now,
 			       const route_retry_t *retry,
 			       const route_query_t *query,
@@ -579,10 +611,12 @@
 }
 
 /*
- * True if an idle endpoint might do it within the span it came with. By the
- * best rates, not those of now, and generously, for endpoints that have been
- * busy all along never showed their best: a request that is late only because
- * of that is one that less urgent work_seconds must not outlive.
+ * True if an idle endpoint could finish the request within client_timeout, the
+ * time limit that it arrived with. Uses the best rates instead of the current
+ * ones, and only FEASIBLE_FACTOR of the estimate, because endpoints that were
+ * always busy have never shown their best rates. A request that is too late
+ * only because the endpoints are busy must not be rejected while work of lower
+ * priority still waits.
  */
 static bool is_feasible(const route_t *route, pimento_usec_t now,
 			const route_query_t *query,
@@ -614,8 +648,9 @@
 }
 
 /*
- * An owner that may have less urgent work_seconds and had no last visit yet. One of an
- * endpoint that is kept free of such a long prompt only sheds.
+ * Chooses an endpoint whose owner has had no final attempt yet and may hold
+ * work of lower priority. At an endpoint that is kept free of long prompts, the
+ * owner of a long prompt's reservation only sheds lower tiers.
  */
 static bool choose_final_attempt(route_t *route, pimento_usec_t now,
 				 route_retry_t *retry,
@@ -624,8 +659,11 @@
 {
 	route_query_t q = *query;
 
-	/* One that was let wait at its last visit comes back when others have
-	 * let less urgent work_seconds in again. */
+	/*
+	 * A request that waited after its final attempt may be refused again
+	 * when lower tiers have been readmitted, so attempts older than this
+	 * are forgotten.
+	 */
 	if (now - retry->final_since > OWNER_TIER_FLOOR_SPAN / 2) {
 		retry->final_count = 0;
 		retry->final_since = now;
--- a/src/route.h
+++ b/src/route.h
@@ -2,9 +2,10 @@
 #define ROUTE_H
 
 /*
- * The entry's side of the choice: which endpoint is expected to finish this
- * request first, from what owners said last, what this host measured itself
- * and where a prompt's prefix was sent before.
+ * Endpoint selection at the entry: estimates which endpoint will finish a
+ * request first, from the owners' latest summaries, the entry's own
+ * measurements and the endpoints to which prompts with the same prefix were
+ * sent. Also decides what follows when an owner refuses.
  */
 
 #include "config.h"
@@ -17,100 +18,121 @@
 
 typedef struct route {
 	pimento_random_t random;
-	route_endpoint_t *endpoints; /* by id, ascending */
+	route_endpoint_t *endpoints; /* sorted by id, ascending */
 	uint32_t count;
 	uint32_t tier_count;
-	route_prefix_t *prefixes; /* where prompts were sent before */
+	/* hash table of the endpoints that prompt prefixes were sent to */
+	route_prefix_t *prefixes;
 	prompt_mix_t mix;
-	pimento_usec_t
-		partitioned_at; /* when endpoints were last divided by it */
+	/* when endpoints were last divided between long and short prompts */
+	pimento_usec_t partitioned_at;
 } route_t;
 
 typedef struct route_query {
 	config_target_t target;
 	const char *target_name;
 	uint8_t tier;
-	pimento_usec_t time_left; /* span left */
+	pimento_usec_t time_left; /* time until the caller's deadline */
 	uint32_t prompt_tokens;
 	uint32_t answer_tokens;
 	uint64_t prefix;
-	const pimento_id_t *avoid; /* endpoints that refused already */
+	/* endpoints that have refused this request */
+	const pimento_id_t *avoid;
 	uint32_t avoid_count;
 } route_query_t;
 
 typedef struct route_choice {
 	pimento_id_t endpoint;
-	pimento_usec_t expected; /* span until the whole answer */
+	/* expected time until the answer is complete */
+	pimento_usec_t expected;
 } route_choice_t;
 
 int route_init(route_t *route, uint64_t seed);
 void route_finish(route_t *route);
 
-/* Takes over the endpoints of a configuration; keeps what is known of those
- * that stay. Returns 0 or PIMENTO_ENOMEM. */
+/*
+ * Applies the endpoints of a configuration; keeps what is known of those that
+ * stay. Returns 0 or PIMENTO_ENOMEM.
+ */
 int route_configure(route_t *route, pimento_usec_t now,
 		    const pimento_config_t *config);
 
-/* What an owner said; older epochs of the same endpoint are ignored. */
+/*
+ * Applies an owner's summary of an endpoint. Summaries of older epochs are
+ * ignored.
+ */
 void route_update_summary(route_t *route, pimento_usec_t now,
 			  const message_summary_t *summary);
 
-/* What this host measured of one answer; spans as in message_release_t. */
+/*
+ * Records the times of an answer that this host received: time to the first
+ * token and decode time, as in message_release_t.
+ */
 void route_record_answer(route_t *route, pimento_usec_t now,
 			 pimento_id_t endpoint, uint32_t prompt_tokens,
 			 uint32_t answer_tokens, pimento_usec_t first_token,
 			 pimento_usec_t decode);
 
-/* A prompt with this prefix was dispatched there, so it is probably cached. */
+/*
+ * Records that a prompt with this prefix was dispatched to the endpoint, which
+ * probably caches it.
+ */
 void route_record_prefix(route_t *route, pimento_usec_t now,
 			 pimento_id_t endpoint, uint64_t prefix,
 			 uint32_t prompt_tokens);
 
-/* Leaving or unreachable endpoints are never picked. */
+/* Sets whether an endpoint is leaving. Leaving endpoints are never picked. */
 void route_set_leaving(route_t *route, pimento_id_t endpoint, bool leaving);
 
-/* The endpoint refused a connection: avoid it for a while. */
+/* The endpoint refused a connection: it is not picked for a short time. */
 void route_endpoint_failed(route_t *route, pimento_usec_t now,
 			   pimento_id_t endpoint);
 
-/* Returns 0, or PIMENTO_EUNREACHABLE when no endpoint is left. */
+/*
+ * Picks the endpoint expected to finish the request first. Returns 0, or
+ * PIMENTO_EUNREACHABLE if no endpoint is usable.
+ */
 int route_pick(route_t *route, pimento_usec_t now, const route_query_t *query,
 	       route_choice_t *choice);
 
 /*
- * What an entry keeps of one request's refusals. Cleared memory, or
- * route_retry_init(), before the first; good for all of the request's life.
+ * What an entry remembers of the refusals of one request, from its first to its
+ * last reservation. Must be zeroed, or set up by route_retry_init(), before the
+ * first refusal.
  */
 #define ROUTE_ATTEMPTS_MAX 16
 
 typedef struct route_retry {
-	pimento_id_t refused[ROUTE_ATTEMPTS_MAX]; /* endpoints that said no */
+	/* endpoints whose owner refused */
+	pimento_id_t refused[ROUTE_ATTEMPTS_MAX];
 	uint32_t refused_count;
-	pimento_id_t
-		final[ROUTE_ATTEMPTS_MAX]; /* ... and no for the last time */
+	/* endpoints that got a final attempt */
+	pimento_id_t final[ROUTE_ATTEMPTS_MAX];
 	uint32_t final_count;
-	pimento_usec_t
-		final_since; /* the first of these; old ones do not count */
-	uint32_t owner_changes; /* refusals because the owner had changed */
-	int reason; /* of the first refusal */
-	pimento_usec_t retry_after; /* the least that was said */
+	/* start of the current round of final attempts */
+	pimento_usec_t final_since;
+	/* refusals with PIMENTO_ESTALE, because the owner had changed */
+	uint32_t owner_changes;
+	int reason; /* reason of the first refusal */
+	pimento_usec_t retry_after; /* smallest retry_after of all refusals */
 } route_retry_t;
 
 void route_retry_init(route_retry_t *retry);
 
 /*
- * An owner refused the reservation at this endpoint. Returns 0 to reserve once
- * more, as *choice says, with *hops in the reservation; query->patience is the
- * span left now, and its avoid list is not used. Otherwise the request is given
- * up: the caller gets its final answer at once, the returned error, "not run"
- * and retry->retry_after.
+ * Decides what follows when an owner refused the reservation at this endpoint.
+ * Returns 0 to reserve again, at choice->endpoint with *hops in the
+ * reservation. query->time_left is the time left now; query->avoid is not used.
+ * Any other return value is the error of the final answer, which the caller
+ * gets at once: the request was not run and may be retried after
+ * retry->retry_after.
  *
- * While an endpoint seems able to finish in time it is tried. Then, if the
- * request is not of the least urgent tier and could finish in time on an idle
- * endpoint (patience is the span it came with), each owner gets a last visit
- * (OWNER_HOPS_FINAL), at which it takes the request or sheds everything less
- * urgent with it. So nothing less urgent waits at any owner within reach when
- * the request is given up.
+ * Endpoints are tried while one seems able to finish in time. After that, if
+ * the request is not of the least urgent tier and could finish within
+ * client_timeout (the time limit that it arrived with) on an idle endpoint,
+ * each owner gets a final attempt (OWNER_HOPS_FINAL): it accepts the request,
+ * or refuses it together with everything of lower priority. So when the request
+ * is rejected, nothing of lower priority is waiting at any reachable owner.
  */
 int route_refused(route_t *route, pimento_usec_t now, route_retry_t *retry,
 		  const route_query_t *query, pimento_usec_t client_timeout,
--- a/test/test_grants.c
+++ b/test/test_grants.c
@@ -1,4 +1,4 @@
-/* Places of an engine, given out by the host that keeps count of them. */
+/* Slots of an engine, granted by the host that counts them. */
 
 #include "grants.h"
 
@@ -34,7 +34,7 @@
 	ck_assert_int_eq(grants_request(&grants, &request, now), 0);
 }
 
-/* The ticket that gets the next_grant place; 0 if none does. */
+/* Returns the ticket that is granted next, 0 if none is. */
 static uint64_t next_grant(pimento_usec_t now)
 {
 	grants_request_t granted;
@@ -65,10 +65,9 @@
 END_TEST
 
 /*
- * Dozens of hosts wait for places of the same engine. The first host that
- * sees one free would take it for whatever it has, though another host holds
- * a request that is more urgent; the caller of that one sees short jobs
- * overtake.
+ * Dozens of hosts wait for slots of the same engine. Without one queue for all,
+ * the first host that sees a free slot would take it for any request, while
+ * another host holds a more urgent one, which short requests then overtake.
  */
 START_TEST(slot_goes_to_most_urgent_request_of_all_hosts)
 {
@@ -82,7 +81,10 @@
 	ck_assert_uint_eq(next_grant(NOW + 4), 13);
 	ck_assert_uint_eq(next_grant(NOW + 4), 14);
 	ck_assert_uint_eq(next_grant(NOW + 4), 11);
-	/* the late one, however urgent, goes after all that can be on time */
+	/*
+	 * an overdue request comes after all that can be on time, however
+	 * urgent it is
+	 */
 	request_slot(15, 2, false, NOW + 4);
 	ck_assert_uint_eq(next_grant(NOW + 4), 0);
 	grants_release(&grants, ENGINE, HOST_A, 11);
@@ -93,9 +95,9 @@
 END_TEST
 
 /*
- * A caller that was turned away comes returning and waits again. Were the line in
- * order of arrival, it would stand behind those who have only just come, and
- * would be turned away a second time.
+ * A caller that was refused retries and waits again. If the queue were in order
+ * of arrival, its request would wait behind newer ones and be refused a second
+ * time.
  */
 START_TEST(longest_total_wait_is_granted_first)
 {
@@ -116,12 +118,11 @@
 }
 END_TEST
 
-/* Who asked has gone elsewhere, and its word of that was lost. */
 /*
- * In an overload the requests in line are on time when they ask and late a
- * moment later. If the one that has waited longest always got the place, each
- * would get it just too late, and callers see every answer miss its goal
- * although half of them could have been on time.
+ * In an overload, requests are on time when they are queued and become overdue
+ * while they wait. If the one that waited longest always got the slot, each
+ * would get it just too late, and every answer would miss its objective
+ * although half of them could have met it.
  */
 START_TEST(request_overdue_in_queue_is_granted_last)
 {
@@ -148,6 +149,10 @@
 }
 END_TEST
 
+/*
+ * A host withdrew a slot request and the message was lost. If the request did
+ * not time out in the queue, a slot would be granted to it for nothing.
+ */
 START_TEST(request_past_its_wait_gets_no_grant)
 {
 	fill_slots(SLOTS, NOW);
@@ -165,9 +170,9 @@
 }
 
 /*
- * The word that a request has ended is lost on the way. The place would stay
- * taken for good, and the engine would idle a little more each time. A report
- * that was written before the grant arrived must not free it.
+ * A release is lost in transit. Without the host's reports, its slot would stay
+ * in use for good, and the engine would idle a little more after each loss. A
+ * report sent before the grant arrived must not free the slot.
  */
 START_TEST(report_recovers_lost_release)
 {
@@ -180,8 +185,9 @@
 END_TEST
 
 /*
- * The owner is killed and another host takes over, or it restarts: it has
- * granted nothing, though the engine is full.
+ * The owner is killed and another host takes over, or it restarts. The new
+ * owner has granted nothing although the engine is full; without the hosts'
+ * reports it would grant all slots again.
  */
 START_TEST(new_owner_counts_reported_requests)
 {
@@ -197,8 +203,9 @@
 END_TEST
 
 /*
- * Guards against reports that take a new owner's slots for requests that ended
- * since: their release frees the slot, though this owner did not grant it.
+ * Running requests that the previous owner granted are counted from reports. If
+ * a release did not free such a slot, it would stay in use until the next
+ * report.
  */
 START_TEST(new_owner_frees_foreign_grant_on_release)
 {
@@ -211,7 +218,10 @@
 }
 END_TEST
 
-/* Guards against a pace report, which has no ticket, that frees a slot. */
+/*
+ * A release without a ticket only reports measured times. If it freed a slot,
+ * the endpoint would get more requests than it has slots.
+ */
 START_TEST(release_without_ticket_frees_nothing)
 {
 	report(HOST_A, SLOTS, NOW);
@@ -220,7 +230,10 @@
 }
 END_TEST
 
-/* Guards against slots that a host without power holds for good. */
+/*
+ * A host loses power while it holds slots. If its grants did not expire, the
+ * slots would be lost for good.
+ */
 START_TEST(unreported_grants_expire)
 {
 	const pimento_usec_t end = NOW + GRANTS_LEASE + PIMENTO_MSEC;
@@ -238,8 +251,9 @@
 END_TEST
 
 /*
- * Guards against a report that takes slots beside the grants that it is about:
- * with many hosts a third of an engine would look taken.
+ * A report covers requests that this owner granted. If it were counted in
+ * addition to the grants, with many hosts a third of an engine would look in
+ * use.
  */
 START_TEST(report_does_not_count_grants_twice)
 {
--- a/test/test_limit.c
+++ b/test/test_limit.c
@@ -1,5 +1,6 @@
 /*
- * What is learnt of an endpoint, and which endpoints take long prompts.
+ * Rates and limits that are learnt of an endpoint, and the share of endpoints
+ * that is kept free of long prompts.
  */
 
 #include "limit.h"
@@ -39,9 +40,9 @@
 END_TEST
 
 /*
- * The engine's batch is smaller than configured, so requests wait inside it
- * and first tokens come late; callers would wait behind work that cannot be
- * reordered any more.
+ * The engine's batch is smaller than the configured concurrency, so requests
+ * wait inside the engine and first tokens come late. If the limit stayed,
+ * urgent requests would wait behind work that can no longer be reordered.
  */
 START_TEST(late_first_tokens_lower_request_limit)
 {
@@ -52,8 +53,9 @@
 END_TEST
 
 /*
- * The engine's memory is full of tokens although few requests are in flight. A
- * short request sits in it for seconds without a first token.
+ * The engine's memory is full of tokens although few requests are in flight,
+ * and a short request waits in it for seconds without a first token. If the
+ * token limit stayed, more requests would queue inside the engine.
  */
 START_TEST(missing_first_token_lowers_token_limit)
 {
@@ -71,7 +73,10 @@
 }
 END_TEST
 
-/* Single answers of a service scatter; the limit must not follow each one. */
+/*
+ * Service times scatter widely. If the limit followed single answers, it would
+ * fall without any overload.
+ */
 START_TEST(service_time_variance_keeps_request_limit)
 {
 	limit_load_t load = { REQUESTS, 0 };
@@ -93,9 +98,9 @@
 } prompt_mix_cases[] = {
 	{ "no long prompts", 0, 10, 0, 0 },
 	{ "no short prompts", 0, 0, 10, 0 },
-	{ "half and half", 0, 10, 10, 0.5 },
-	{ "of the same tier", 1, 5, 15, 0.25 },
-	{ "short ones less urgent", 2, 10, 10, 0 },
+	{ "equal work of both kinds", 0, 10, 10, 0.5 },
+	{ "short prompts of the same tier", 1, 5, 15, 0.25 },
+	{ "short prompts less urgent", 2, 10, 10, 0 },
 };
 
 START_TEST(short_prompt_share_follows_work)
--- a/test/test_owner.c
+++ b/test/test_owner.c
@@ -1,6 +1,6 @@
 /*
- * The owner's decisions, step by step: each case is a script of messages and
- * what the owner answers to each.
+ * Decisions of the owner: each test sends a sequence of messages and checks the
+ * owner's reply to each.
  */
 
 #include "owner.h"
@@ -79,7 +79,10 @@
 	ck_assert_int_eq(owner_receive(&owner, now, ENTRY, &m), 0);
 }
 
-/* Takes the next_outgoing_message message; the request's number, and the kind in *kind. */
+/*
+ * Takes the next message from the outbox. Returns its request number, stores
+ * its kind and, for a refusal, the reason.
+ */
 static uint64_t next_outgoing_message(message_kind_t *kind, int *reason)
 {
 	pimento_id_t to;
@@ -109,7 +112,10 @@
 	ck_assert_int_eq(why, reason);
 }
 
-/* Fills all slots: three that any tier may use and the urgent one. */
+/*
+ * Fills all four slots: three are open to every tier, one is kept for the most
+ * urgent.
+ */
 static void fill_slots(void)
 {
 	for (uint64_t n = 1; n <= 4; n++) {
@@ -151,8 +157,8 @@
 END_TEST
 
 /*
- * One account sends far more than the others. Its requests came first, so in
- * order of arrival the small account would wait behind all of them.
+ * One account sends far more than the others, and its requests came first. In
+ * order of arrival, the small account would wait behind all of them.
  */
 START_TEST(busy_account_does_not_starve_others)
 {
@@ -183,7 +189,10 @@
 }
 END_TEST
 
-/* The owner's table is full. Somebody is told to go; it is the least urgent. */
+/*
+ * More reservations wait than the owner may hold. If it evicted in order of
+ * arrival, urgent requests would be refused while less urgent ones wait.
+ */
 START_TEST(full_table_evicts_lowest_tier)
 {
 	fill_slots();
@@ -199,7 +208,10 @@
 }
 END_TEST
 
-/* One answer of 30 tokens, made at 30 a second, teaches the rates. */
+/*
+ * Lets the owner learn the endpoint's rates from one answer of 30 tokens,
+ * generated at 30 tokens/s.
+ */
 static void learn_rates(void)
 {
 	message_t m = { .kind = MESSAGE_RELEASE };
@@ -226,8 +238,9 @@
 }
 
 /*
- * All callers of a new endpoint want long answers in little time. If a guessed
- * rate refused them, nobody would ever learn that the endpoint is fast.
+ * All callers of a new endpoint want long answers in little time. If an assumed
+ * rate led to their refusal, the owner would never learn that the endpoint is
+ * fast.
  */
 START_TEST(unmeasured_endpoint_refuses_nothing)
 {
@@ -245,8 +258,9 @@
 END_TEST
 
 /*
- * A request waits so long that it could no longer be answered in time. Its
- * caller is told then, not when the deadline has passed.
+ * A request waits until it can no longer be answered in time. It must be
+ * refused then, not only when its deadline has passed, so that the caller can
+ * act in time.
  */
 START_TEST(queued_request_is_refused_once_infeasible)
 {
@@ -261,8 +275,9 @@
 END_TEST
 
 /*
- * An urgent request is given up because nobody can finish it. Were less urgent
- * work left waiting, it would have been shed after the urgent one.
+ * An urgent request is rejected because no endpoint can finish it. If requests
+ * of lower priority stayed in the queue, they would have been preferred to the
+ * urgent one.
  */
 START_TEST(final_attempt_sheds_lower_tiers)
 {
@@ -284,7 +299,10 @@
 }
 END_TEST
 
-/* An entry died with a grant in its hand; the slot must not be lost. */
+/*
+ * An entry host fails after it received a grant and before it dispatches.
+ * Without an expiry of the grant, its slot would be lost.
+ */
 START_TEST(expired_grant_frees_its_slot)
 {
 	fill_slots();
@@ -298,7 +316,10 @@
 }
 END_TEST
 
-/* An entry died during an answer: nobody says anything of its slot any more. */
+/*
+ * An entry host fails during an answer, so no more MESSAGE_PROGRESS comes.
+ * Without a lease, the slot would be lost.
+ */
 START_TEST(slot_without_progress_is_freed_after_lease)
 {
 	fill_slots();
@@ -336,7 +357,10 @@
 }
 END_TEST
 
-/* The host list changed and another host owns the endpoint from now on. */
+/*
+ * The host list changed and another host owns the endpoint now. Requests left
+ * in the old owner's queue would wait until their deadline.
+ */
 START_TEST(removed_endpoint_refuses_queued_requests)
 {
 	fill_slots();
@@ -371,7 +395,10 @@
 }
 END_TEST
 
-/* Both sides of a partition own the endpoint; together they must not flood it. */
+/*
+ * Both sides of a network partition own the endpoint. If each granted all
+ * slots, the endpoint would be overloaded.
+ */
 START_TEST(partitioned_owner_grants_only_its_share)
 {
 	ck_assert_int_eq(owner_add_endpoint(&owner, 0, &engine, 2, 0.5), 0);
--- a/test/test_route.c
+++ b/test/test_route.c
@@ -1,6 +1,4 @@
-/*
- * The entry's choice of endpoint, and what it does when owners refuse.
- */
+/* Endpoint selection at the entry, and its next step when an owner refuses. */
 
 #include "owner.h"
 #include "route.h"
@@ -91,13 +89,14 @@
 	uint32_t prompt;
 	pimento_id_t want;
 } cases[] = {
-	{ "the faster one", 0, 0, false, false, 0, 1000, FAST },
-	{ "a long line", 8, 30, false, false, 0, 1000, SLOW },
-	{ "leaving", 0, 0, true, false, 0, 1000, SLOW },
-	{ "failed", 0, 0, false, true, 0, 1000, SLOW },
-	{ "refused already", 0, 0, false, false, FAST, 1000, SLOW },
-	{ "too long for slow", 8, 30, false, false, 0, 60000, FAST },
-	{ "nothing left", 0, 0, true, false, 0, 60000, 0 },
+	{ "fastest endpoint", 0, 0, false, false, 0, 1000, FAST },
+	{ "fastest has a long queue", 8, 30, false, false, 0, 1000, SLOW },
+	{ "fastest is leaving", 0, 0, true, false, 0, 1000, SLOW },
+	{ "fastest refused a connection", 0, 0, false, true, 0, 1000, SLOW },
+	{ "fastest refused the request", 0, 0, false, false, FAST, 1000, SLOW },
+	{ "prompt exceeds the context of slow", 8, 30, false, false, 0, 60000,
+	  FAST },
+	{ "no usable endpoint", 0, 0, true, false, 0, 60000, 0 },
 };
 
 START_TEST(route_picks_expected_endpoint)
@@ -160,8 +159,9 @@
 }
 
 /*
- * Every owner says that it would be too late. Each is visited once more, so
- * that nothing less urgent is left waiting when the caller gets its refusal.
+ * Every owner refuses because the request would miss its deadline. Without a
+ * final attempt at each owner, requests of lower priority would still be
+ * waiting when the caller gets its refusal.
  */
 START_TEST(refused_request_gets_final_attempt_at_every_owner)
 {
