--- a/src/grants.h
+++ b/src/grants.h
@@ -18,7 +18,7 @@
 /*
  * Number of endpoints in whose queues one request waits at the same time: a
  * single endpoint frees a slot too rarely for the most urgent requests. Each
- * further one costs three datagrams for a request that has to wait.
+ * costs three datagrams for a request that has to wait.
  */
 #define GRANTS_QUEUES_MAX 6
 
@@ -44,7 +44,7 @@
 	pimento_usec_t overdue_in;
 	/* dispatched without waiting for a grant; only counted */
 	bool unconditional;
-	/* time in the queue after which it is dropped */
+	/* time in the queue after which the request is dropped */
 	pimento_usec_t queue_timeout;
 	/*
 	 * added to its time in the queue, to order it among requests of equal
@@ -56,7 +56,8 @@
 typedef struct grants_entry {
 	grants_request_t request;
 	bool granted;
-	pimento_usec_t since; /* start of the grant, or of the wait before it */
+	pimento_usec_t
+		since; /* when it was granted or, while it waits, queued */
 	/* when its host last reported it as running */
 	pimento_usec_t renewed_at;
 } grants_entry_t;
@@ -137,7 +138,7 @@
 
 /*
  * True if this host received a slot request for the endpoint within the last
- * seconds.
+ * 3 s.
  */
 bool grants_is_requested(const grants_t *grants, uint32_t endpoint,
 			 pimento_usec_t now);
--- a/src/limit.c
+++ b/src/limit.c
@@ -18,7 +18,7 @@
 #define GAP_TOKENS_MIN 8 /* tokens that a sample needs to set the minimum gap */
 /* Accepted time to the first token, as a multiple of the expected one. */
 #define FIRST_TOKEN_FACTOR_MAX 3.0
-/* Two engine steps that each read a full chunk of a prompt. */
+/* Seconds: two engine steps that each read a full chunk of a prompt. */
 #define FIRST_TOKEN_SLACK_S 0.5
 /*
  * Decay of the best prefill rate, token gap and service time with each sample,
@@ -37,7 +37,7 @@
 #define TOKENS_DECREASE 0.85
 #define TOKENS_DECREASE_INTERVAL (5 * PIMENTO_SEC)
 #define NO_FIRST_TOKEN_SLACK_S 2.0 /* far longer than one engine step */
-/* A limit used at least to this share counts as the one that was reached. */
+/* Share of a limit in use from which on the limit counts as reached. */
 #define LIMIT_USED_MIN 0.75
 #define REQUESTS_DECREASE_INTERVAL (1 * PIMENTO_SEC)
 /* Weight of a new sample: single service times scatter widely. */
--- a/src/queue.h
+++ b/src/queue.h
@@ -18,8 +18,8 @@
 	pimento_usec_t deadline;
 	/* endpoint time that the request is expected to use */
 	pimento_usec_t work;
-	uint32_t earliest_index; /* index in queue_flow_t.earliest */
-	uint32_t latest_index; /* index in queue_flow_t.latest */
+	uint32_t earliest_index; /* index in the heap queue_flow_t.earliest */
+	uint32_t latest_index; /* index in the heap queue_flow_t.latest */
 } queue_item_t;
 
 /* The waiting items of one account in one tier. */
@@ -28,7 +28,7 @@
 	uint32_t weight;
 	/* work granted so far divided by weight, in virtual time */
 	int64_t virtual_service;
-	pimento_usec_t work; /* sum over the waiting items */
+	pimento_usec_t work; /* work of all waiting items */
 	heap_t earliest;
 	heap_t latest;
 	uint32_t service_index;
@@ -55,7 +55,7 @@
 } queue_t;
 
 void queue_init(queue_t *queue);
-void queue_finish(queue_t *queue); /* All items must have been removed. */
+void queue_finish(queue_t *queue); /* The queue must be empty. */
 
 void queue_item_init(queue_item_t *item);
 
--- a/src/reservation.h
+++ b/src/reservation.h
@@ -33,7 +33,7 @@
 	pimento_usec_t decode_span;
 	bool has_first_token; /* the first token came, so the prompt is read */
 	uint32_t due_index; /* index in owner_t.due */
-	struct reservation *next; /* next in the hash table's chain */
+	struct reservation *next; /* next reservation in the hash chain */
 	/* granted before this one, in the endpoint's list in_flight */
 	struct reservation *older;
 	struct reservation *newer;
--- a/src/route.c
+++ b/src/route.c
@@ -28,7 +28,10 @@
 #define OWNER_CHANGES_MAX 4
 #define JITTER 0.05
 #define BEST_DECAY 0.9999
-/* Factor on the estimated seconds by the best rates; gives microseconds. */
+/*
+ * Part of a request's estimated time, by the best rates, that must fit into its
+ * time limit. Converts seconds to microseconds.
+ */
 #define FEASIBLE_FACTOR (0.3 * PIMENTO_SEC)
 /*
  * Share of the time left within which an endpoint without long prompts must
@@ -333,7 +336,7 @@
 		return service_seconds_of(e) > 0 ? service_seconds_of(e)
 						 : best->service_seconds;
 	prompt -= cached_tokens(route, now, query, e->id);
-	/* in other tiers the owner's wait_ms includes unread prompts */
+	/* In other tiers the owner's reported wait includes unread prompts. */
 	if (!query->tier)
 		prompt += e->summary.waiting_tokens;
 	return prompt / prefill + query->answer_tokens / decode;
