--- a/src/client_timeout.c
+++ b/src/client_timeout.c
@@ -13,16 +13,16 @@
  */
 #define UNSPENT_RATIO_MIN 0.8
 
-pimento_usec_t client_timeout_elapsed(client_timeout_t *patience,
+pimento_usec_t client_timeout_elapsed(client_timeout_t *client_timeout,
 				      pimento_usec_t time_left)
 {
 	pimento_usec_t unspent_min;
 
 	if (!time_left)
 		return 0;
-	if (patience->longest_seen < time_left)
-		patience->longest_seen = time_left;
-	unspent_min = (pimento_usec_t)((double)patience->longest_seen *
+	if (client_timeout->longest_seen < time_left)
+		client_timeout->longest_seen = time_left;
+	unspent_min = (pimento_usec_t)((double)client_timeout->longest_seen *
 				       UNSPENT_RATIO_MIN);
 	return unspent_min > time_left ? unspent_min - time_left : 0;
 }
--- a/src/client_timeout.h
+++ b/src/client_timeout.h
@@ -9,7 +9,7 @@
 
 #include "../pimentoshelf.h"
 
-typedef struct patience {
+typedef struct client_timeout {
 	pimento_usec_t
 		longest_seen; /* that a caller has time_left; 0 none yet */
 } client_timeout_t;
@@ -18,7 +18,7 @@
  * Learns from the time that a request brings (microseconds; 0 if it states
  * none), and returns what its caller has surely spent before, 0 if nothing.
  */
-pimento_usec_t client_timeout_elapsed(client_timeout_t *patience,
+pimento_usec_t client_timeout_elapsed(client_timeout_t *client_timeout,
 				      pimento_usec_t time_left);
 
 #endif
--- a/src/latency.c
+++ b/src/latency.c
@@ -139,21 +139,22 @@
 		       (double)span / latency_slowness(latency_model, service));
 }
 
-void latency_add_length(latency_service_t *service, uint32_t expected,
+void latency_add_length(latency_service_t *service, uint32_t expected_tokens,
 			uint32_t events)
 {
-	if (expected && events)
+	if (expected_tokens && events)
 		regression_add(&service->events_by_tokens,
-			       log((double)expected), log((double)events));
+			       log((double)expected_tokens),
+			       log((double)events));
 }
 
 double latency_expected_events(const latency_service_t *service,
-			       uint32_t expected)
+			       uint32_t expected_tokens)
 {
-	if (!expected || service->events_by_tokens.weight <= 0)
+	if (!expected_tokens || service->events_by_tokens.weight <= 0)
 		return 0;
 	return exp(regression_at(&service->events_by_tokens,
-				 log((double)expected), 1));
+				 log((double)expected_tokens), 1));
 }
 
 double latency_expected_gap(const latency_model_t *latency_model,
@@ -165,9 +166,9 @@
 
 double latency_expected_stream_time(const latency_model_t *latency_model,
 				    const latency_service_t *service,
-				    uint32_t expected)
+				    uint32_t expected_tokens)
 {
-	return latency_expected_events(service, expected) *
+	return latency_expected_events(service, expected_tokens) *
 	       latency_expected_gap(latency_model, service);
 }
 
@@ -209,12 +210,12 @@
 
 void latency_update_failure_rate(latency_model_t *latency_model,
 				 latency_service_t *service,
-				 latency_outcome_t finding, pimento_usec_t now)
+				 latency_outcome_t outcome, pimento_usec_t now)
 {
-	if (finding == LATENCY_OUTCOME_ANSWERED)
+	if (outcome == LATENCY_OUTCOME_ANSWERED)
 		update_failure_rate(latency_model, service, false);
-	else if (finding == LATENCY_OUTCOME_FAILED ||
-		 finding == LATENCY_OUTCOME_RESET)
+	else if (outcome == LATENCY_OUTCOME_FAILED ||
+		 outcome == LATENCY_OUTCOME_RESET)
 		latency_add_failure(latency_model, service, now);
 }
 
@@ -239,13 +240,13 @@
 		latency_model->ejected_until = now + EJECT_FULL_TIME;
 }
 
-const char *latency_outcome_name(latency_outcome_t finding)
+const char *latency_outcome_name(latency_outcome_t outcome)
 {
 	static const char *const names[LATENCY_OUTCOMES] = {
 		"nothing", "answers", "full", "breaks", "unreached", "fails",
 	};
 
-	return finding < LATENCY_OUTCOMES ? names[finding] : "unknown";
+	return outcome < LATENCY_OUTCOMES ? names[outcome] : "unknown";
 }
 
 /*
@@ -264,9 +265,9 @@
 
 void latency_update_ejection(latency_model_t *latency_model,
 			     const latency_service_t *service,
-			     latency_outcome_t finding, pimento_usec_t now)
+			     latency_outcome_t outcome, pimento_usec_t now)
 {
-	switch (finding) {
+	switch (outcome) {
 	case LATENCY_OUTCOME_ANSWERED:
 		latency_model->consecutive_unreachable = 0;
 		latency_model->consecutive_errors = 0;
--- a/src/latency.h
+++ b/src/latency.h
@@ -63,7 +63,7 @@
 			     latency_service_t *service, pimento_usec_t span,
 			     uint32_t prompt_tokens);
 /* A stream of which so many tokens were expected ended after some events. */
-void latency_add_length(latency_service_t *service, uint32_t expected,
+void latency_add_length(latency_service_t *service, uint32_t expected_tokens,
 			uint32_t events);
 void latency_add_success(latency_model_t *latency_model,
 			 latency_service_t *service);
@@ -77,15 +77,15 @@
 void latency_eject_full(latency_model_t *latency_model, pimento_usec_t now);
 
 /* "answers", "breaks", ...; never NULL. */
-const char *latency_outcome_name(latency_outcome_t finding);
+const char *latency_outcome_name(latency_outcome_t outcome);
 /* Learns from a finding, of this host or of another. */
 void latency_update_ejection(latency_model_t *latency_model,
 			     const latency_service_t *service,
-			     latency_outcome_t finding, pimento_usec_t now);
+			     latency_outcome_t outcome, pimento_usec_t now);
 /* Learns how often requests of another host fail. */
 void latency_update_failure_rate(latency_model_t *latency_model,
 				 latency_service_t *service,
-				 latency_outcome_t finding, pimento_usec_t now);
+				 latency_outcome_t outcome, pimento_usec_t now);
 /* True if it fails far more often than its service. */
 bool latency_is_failing(const latency_model_t *latency_model,
 			const latency_service_t *service);
@@ -112,10 +112,10 @@
  * one to one, and is learnt.
  */
 double latency_expected_events(const latency_service_t *service,
-			       uint32_t expected);
+			       uint32_t expected_tokens);
 /* Expected span from the first event to the last; 0 unknown. */
 double latency_expected_stream_time(const latency_model_t *latency_model,
 				    const latency_service_t *service,
-				    uint32_t expected);
+				    uint32_t expected_tokens);
 
 #endif
--- a/src/placement.c
+++ b/src/placement.c
@@ -63,7 +63,7 @@
 	return endpoint->running + endpoint->remote_running;
 }
 
-static bool has(const pimento_id_t *keys, uint32_t count, pimento_id_t key)
+static bool contains(const pimento_id_t *keys, uint32_t count, pimento_id_t key)
 {
 	for (uint32_t i = 0; i < count; i++)
 		if (keys[i] == key)
@@ -74,8 +74,8 @@
 /* True if the request is not to be sent there, or asks there already. */
 static bool is_excluded(const placement_request_t *request, pimento_id_t key)
 {
-	return has(request->tried, request->tried_count, key) ||
-	       has(request->queued_at, request->queued_at_count, key);
+	return contains(request->tried, request->tried_count, key) ||
+	       contains(request->queued_at, request->queued_at_count, key);
 }
 
 static bool same_text(const char *a, const char *b)
@@ -185,14 +185,14 @@
 			  const registry_service_t *service,
 			  const placement_request_t *request)
 {
-	double whole;
+	double completion;
 
 	if (!request->engine_stream)
 		return FIT_GOOD;
-	whole = expected_completion(endpoint, service, request);
-	if (whole > LENGTH_HINT_ERROR_FACTOR * (double)request->time_left)
+	completion = expected_completion(endpoint, service, request);
+	if (completion > LENGTH_HINT_ERROR_FACTOR * (double)request->time_left)
 		return FIT_EXCEEDS_TIMEOUT;
-	if (whole > (double)request->time_left ||
+	if (completion > (double)request->time_left ||
 	    !meets_gap_objective(endpoint, service, request) ||
 	    exceeds_slot_time(endpoint, service, request) ||
 	    misses_first_event(endpoint, service, request))
@@ -246,7 +246,7 @@
 			      pimento_usec_t now)
 {
 	fit_t fit;
-	double c;
+	double endpoint_cost;
 
 	choice->any_untried = true;
 	if (endpoint->latency.ejected_until > now) {
@@ -265,9 +265,9 @@
 	if (fit < choice->best_fit || cannot_queue_at(endpoint, request, now) ||
 	    in_flight(endpoint) >= capacity(service, endpoint, request))
 		return;
-	c = cost(endpoint, service, request);
-	if (c < choice->cost) {
-		choice->cost = c;
+	endpoint_cost = cost(endpoint, service, request);
+	if (endpoint_cost < choice->cost) {
+		choice->cost = endpoint_cost;
 		choice->best = endpoint;
 	}
 }
@@ -313,7 +313,7 @@
 		if (e->service == request->service &&
 		    registry_endpoint_accepts_work(e, now) &&
 		    e->latency.ejected_until <= now &&
-		    !has(request->tried, request->tried_count, e->key) &&
+		    !contains(request->tried, request->tried_count, e->key) &&
 		    endpoint_fit(e, service, request) > fit)
 			return false;
 	}
--- a/src/quota_fleet.c
+++ b/src/quota_fleet.c
@@ -67,49 +67,50 @@
 static double partition_limit_ratio(const quota_fleet_t *fleet,
 				    pimento_usec_t now)
 {
-	double part =
+	double live_share =
 		peers_known_live_share(fleet->peers, LOST_HOST_WINDOW, now);
 
-	return part >= FULL_LIMIT_HOSTS_RATIO ? 1 : part;
+	return live_share >= FULL_LIMIT_HOSTS_RATIO ? 1 : live_share;
 }
 
-static quota_decision_t judge(quota_t *quota, const quota_message_t *ask,
-			      pimento_usec_t now)
+static quota_decision_t decide(quota_t *quota, const quota_message_t *request,
+			       pimento_usec_t now)
 {
-	quota_limit_t limit = quota_update_limit(quota, ask->account,
-						 ask->version, ask->limit);
-	int error = quota_admit(quota, ask->account, limit, ask->tier,
-				ask->tokens, now);
+	quota_limit_t limit = quota_update_limit(
+		quota, request->account, request->version, request->limit);
+	int error = quota_admit(quota, request->account, limit, request->tier,
+				request->tokens, now);
 
 	return (quota_decision_t){
 		.admitted = !error,
-		.retry_after = error ? quota_retry_after(quota, ask->account,
-							 limit, ask->tokens)
-				     : 0,
-		.level = quota_level(quota, ask->account),
+		.retry_after =
+			error ? quota_retry_after(quota, request->account,
+						  limit, request->tokens)
+			      : 0,
+		.level = quota_level(quota, request->account),
 	};
 }
 
 static quota_decision_t decide_as_owner(quota_fleet_t *fleet,
-					const quota_message_t *ask,
+					const quota_message_t *request,
 					bool non_owner, pimento_usec_t now)
 {
 	quota_decision_t decision;
 
 	fleet->owned.limit_ratio = partition_limit_ratio(fleet, now) *
 				   (non_owner ? NON_OWNER_LIMIT_RATIO : 1);
-	decision = judge(&fleet->owned, ask, now);
+	decision = decide(&fleet->owned, request, now);
 	decision.deciding_host = fleet->peers->self;
 	return decision;
 }
 
 static quota_decision_t decide_locally(quota_fleet_t *fleet,
-				       const quota_message_t *ask,
+				       const quota_message_t *request,
 				       pimento_usec_t now)
 {
 	fleet->local_decisions++;
 	fleet->fallback.limit_ratio = 1.0 / peers_host_count(fleet->peers, now);
-	return judge(&fleet->fallback, ask, now);
+	return decide(&fleet->fallback, request, now);
 }
 
 /* Ends an ask; the callee may ask anew. */
@@ -123,9 +124,8 @@
 }
 
 /* The host to ask next: the owner, its successor; 0: neither answers. */
-static uint32_t next_host_to_ask(const quota_fleet_t *fleet,
-				 const quota_pending_t *pending,
-				 pimento_usec_t now)
+static uint32_t next_host(const quota_fleet_t *fleet,
+			  const quota_pending_t *pending, pimento_usec_t now)
 {
 	uint32_t owner = peers_owner(fleet->peers, pending->req.account);
 	uint32_t successor;
@@ -157,7 +157,7 @@
 
 	if (is_deferred(fleet, pending, now))
 		return false;
-	address = next_host_to_ask(fleet, pending, now);
+	address = next_host(fleet, pending, now);
 	if (address && address != fleet->peers->self) {
 		pending->sent_to = address;
 		pending->sent_at = now;
@@ -224,7 +224,7 @@
 		}
 }
 
-void quota_fleet_refund(quota_fleet_t *fleet, uint32_t judge,
+void quota_fleet_refund(quota_fleet_t *fleet, uint32_t deciding_host,
 			pimento_id_t account, double tokens)
 {
 	const quota_message_t message = {
@@ -234,28 +234,28 @@
 		.tokens = tokens,
 	};
 
-	if (!judge)
+	if (!deciding_host)
 		quota_refund(&fleet->fallback, account, tokens);
-	else if (judge == fleet->peers->self)
+	else if (deciding_host == fleet->peers->self)
 		quota_refund(&fleet->owned, account, tokens);
 	else
-		fleet->ops->send(fleet->context, judge, &message);
+		fleet->ops->send(fleet->context, deciding_host, &message);
 }
 
-static void handle_request(quota_fleet_t *fleet, const quota_message_t *ask,
+static void handle_request(quota_fleet_t *fleet, const quota_message_t *request,
 			   pimento_usec_t now)
 {
-	uint32_t owner = peers_owner(fleet->peers, ask->account);
-	quota_decision_t decision =
-		decide_as_owner(fleet, ask, owner != fleet->peers->self, now);
-	quota_message_t reply = *ask;
+	uint32_t owner = peers_owner(fleet->peers, request->account);
+	quota_decision_t decision = decide_as_owner(
+		fleet, request, owner != fleet->peers->self, now);
+	quota_message_t reply = *request;
 
 	reply.kind = QUOTA_REPLY;
 	reply.address = fleet->peers->self;
 	reply.admitted = decision.admitted;
 	reply.retry_after = decision.retry_after;
 	reply.level = decision.level;
-	fleet->ops->send(fleet->context, ask->address, &reply);
+	fleet->ops->send(fleet->context, request->address, &reply);
 }
 
 static void handle_reply(quota_fleet_t *fleet, const quota_message_t *reply)
--- a/src/quota_fleet.h
+++ b/src/quota_fleet.h
@@ -113,7 +113,7 @@
 void quota_fleet_cancel(quota_fleet_t *fleet, uint64_t ticket);
 
 /* A request that was admitted has not run; judge is the decision's. */
-void quota_fleet_refund(quota_fleet_t *fleet, uint32_t judge,
+void quota_fleet_refund(quota_fleet_t *fleet, uint32_t deciding_host,
 			pimento_id_t account, double tokens);
 
 void quota_fleet_receive(quota_fleet_t *fleet, const quota_message_t *message,
--- a/src/quota_share.c
+++ b/src/quota_share.c
@@ -51,10 +51,10 @@
 void quota_share_add_demand(quota_share_t *share, uint32_t tier, double tokens,
 			    pimento_usec_t now)
 {
-	double part = demand_decay(share, now);
+	double decay = demand_decay(share, now);
 
 	for (uint32_t i = 0; i < QUOTA_SHARE_TIERS; i++)
-		share->demand[i] *= part;
+		share->demand[i] *= decay;
 	share->demand[clamp_tier(tier)] += tokens / DEMAND_DECAY_SECONDS;
 	share->demand_updated_at = now;
 	share->mean_tokens +=
@@ -74,13 +74,14 @@
 			    double tokens, pimento_usec_t now)
 {
 	double urgent = first_tiers_demand(share, clamp_tier(tier), now);
-	double part = share->mean_tokens > 0
-			      ? fmin(tokens / share->mean_tokens, 1)
-			      : 1;
+	double size_ratio = share->mean_tokens > 0
+				    ? fmin(tokens / share->mean_tokens, 1)
+				    : 1;
 
 	if (urgent <= 0 || share->credit_max <= 0)
 		return 0;
-	return fmin(urgent * RESERVE_SECONDS / share->credit_max, 1) * part;
+	return fmin(urgent * RESERVE_SECONDS / share->credit_max, 1) *
+	       size_ratio;
 }
 
 bool quota_share_spend(quota_share_t *share, uint32_t tier, double tokens,
--- a/src/retry_budget.c
+++ b/src/retry_budget.c
@@ -15,16 +15,16 @@
 			   const retry_budget_limits_t *limits,
 			   pimento_usec_t now)
 {
-	int64_t part = now / (limits->window / RETRY_BUDGET_SLICES);
-	int64_t steps = part - budget->slice;
+	int64_t slice = now / (limits->window / RETRY_BUDGET_SLICES);
+	int64_t steps = slice - budget->slice;
 
 	if (steps > RETRY_BUDGET_SLICES)
 		steps = RETRY_BUDGET_SLICES;
 	for (int64_t i = 0; i < steps; i++) {
-		budget->requests[(part - i) % RETRY_BUDGET_SLICES] = 0;
-		budget->retries[(part - i) % RETRY_BUDGET_SLICES] = 0;
+		budget->requests[(slice - i) % RETRY_BUDGET_SLICES] = 0;
+		budget->retries[(slice - i) % RETRY_BUDGET_SLICES] = 0;
 	}
-	budget->slice = part;
+	budget->slice = slice;
 }
 
 void retry_budget_add_request(retry_budget_t *budget,
--- a/test/quota_sim.c
+++ b/test/quota_sim.c
@@ -16,27 +16,25 @@
 			  current_sim->hosts);
 }
 
-static bool can_reach(const peers_sim_t *rosters, uint32_t from, uint32_t to)
+static bool can_reach(const peers_sim_t *peers, uint32_t from, uint32_t to)
 {
-	const peers_sim_host_t *a = &rosters->hosts[from];
-	const peers_sim_host_t *b = &rosters->hosts[to];
+	const peers_sim_host_t *a = &peers->hosts[from];
+	const peers_sim_host_t *b = &peers->hosts[to];
 
-	return b->up && b->frozen_until <= rosters->now && !b->drops_input &&
+	return b->up && b->frozen_until <= peers->now && !b->drops_input &&
 	       a->partition == b->partition;
 }
 
 static void on_send(void *context, uint32_t address,
 		    const quota_message_t *message)
 {
-	peers_sim_t *rosters = &current_sim->peers;
+	peers_sim_t *peers = &current_sim->peers;
 	uint32_t to = peers_sim_host_index(address);
 
-	if (to >= rosters->count ||
-	    !can_reach(rosters, host_index(context), to) ||
-	    pimento_random_unit(&rosters->random) < rosters->loss)
+	if (to >= peers->count || !can_reach(peers, host_index(context), to) ||
+	    pimento_random_unit(&peers->random) < peers->loss)
 		return;
-	quota_fleet_receive(&current_sim->hosts[to].fleet, message,
-			    rosters->now);
+	quota_fleet_receive(&current_sim->hosts[to].fleet, message, peers->now);
 }
 
 static void on_decided(void *context, uint64_t ticket,
@@ -102,7 +100,7 @@
 	free(sim->hosts);
 }
 
-static void ask(quota_sim_t *sim, uint32_t host, uint32_t tier)
+static void send_request(quota_sim_t *sim, uint32_t host, uint32_t tier)
 {
 	quota_request_t request = {
 		.account = sim->account,
@@ -146,13 +144,13 @@
 	for (uint32_t tier = 0; tier < QUOTA_SIM_TIERS; tier++)
 		add_load(sim, tier, rate_multiple[tier]);
 	for (uint32_t i = 0; i < sim->peers.count; i++) {
-		uint32_t *waiting = sim->hosts[i].unsent_requests;
+		uint32_t *unsent = sim->hosts[i].unsent_requests;
 
 		if (!is_running(sim, i))
 			continue;
 		for (uint32_t tier = 0; tier < QUOTA_SIM_TIERS; tier++)
-			for (; waiting[tier]; waiting[tier]--)
-				ask(sim, i, tier);
+			for (; unsent[tier]; unsent[tier]--)
+				send_request(sim, i, tier);
 		if ((sim->step + i) % TICK_STEPS == 0)
 			quota_fleet_tick(&sim->hosts[i].fleet, sim->peers.now);
 	}
--- a/test/test_client_timeout.c
+++ b/test/test_client_timeout.c
@@ -16,7 +16,7 @@
 	const char *what;
 	uint32_t count;
 	int64_t time_left_ms[4]; /* milliseconds, one request after the other */
-	int64_t spent; /* of the last one */
+	int64_t elapsed; /* of the last one */
 } cases[] = {
 	{ "the first request of a route", 1, { 12000 }, 0 },
 	{ "a sixth less than another", 2, { 12000, 10000 }, 0 },
@@ -30,14 +30,14 @@
 
 START_TEST(small_timeout_differences_are_not_time_spent)
 {
-	client_timeout_t patience = { 0 };
-	int64_t spent = 0;
+	client_timeout_t client_timeout = { 0 };
+	int64_t elapsed = 0;
 
 	for (uint32_t i = 0; i < cases[_i].count; i++)
-		spent = client_timeout_elapsed(&patience,
-					       cases[_i].time_left_ms[i] * MS);
-	ck_assert_msg(spent / MS == cases[_i].spent, "%s: %lld", cases[_i].what,
-		      (long long)(spent / MS));
+		elapsed = client_timeout_elapsed(
+			&client_timeout, cases[_i].time_left_ms[i] * MS);
+	ck_assert_msg(elapsed / MS == cases[_i].elapsed, "%s: %lld",
+		      cases[_i].what, (long long)(elapsed / MS));
 }
 END_TEST
 
--- a/test/test_placement.c
+++ b/test/test_placement.c
@@ -74,8 +74,8 @@
 				      .random_bits = 1 };
 }
 
-static placement_result_t place(const placement_request_t *request,
-				registry_endpoint_t **endpoint)
+static placement_result_t choose(const placement_request_t *request,
+				 registry_endpoint_t **endpoint)
 {
 	return placement_choose(&registry, request, PIMENTO_SEC, endpoint);
 }
@@ -85,11 +85,11 @@
 	placement_request_t request = stream(1000, 60);
 	registry_endpoint_t *endpoint;
 
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_ne(endpoint, endpoints[ENDPOINTS - 1]);
 	for (int i = 0; i < ENDPOINTS - 1; i++)
 		endpoints[i]->running = SLOTS + 1;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_eq(endpoint, endpoints[ENDPOINTS - 1]);
 }
 END_TEST
@@ -103,11 +103,11 @@
 	endpoints[1]->idle_connections = 1;
 	for (uint64_t draw = 0; draw < 50; draw++) {
 		request.random_bits = draw * 977;
-		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+		ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 		ck_assert_ptr_eq(endpoint, endpoints[1]);
 	}
 	endpoints[1]->running = SLOTS + 1;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_ne(endpoint, endpoints[1]);
 }
 END_TEST
@@ -121,7 +121,7 @@
 	endpoints[ENDPOINTS - 1]->idle_connections = 1;
 	for (uint64_t draw = 0; draw < 50; draw++) {
 		request.random_bits = draw * 977;
-		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+		ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 		ck_assert_ptr_ne(endpoint, endpoints[ENDPOINTS - 1]);
 	}
 }
@@ -139,9 +139,9 @@
 
 	for (int i = 0; i < ENDPOINTS - 1; i++)
 		endpoints[i]->running = SLOTS + 1;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FULL);
 	endpoints[1]->running = 0;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_eq(endpoint, endpoints[1]);
 }
 END_TEST
@@ -155,10 +155,10 @@
 static const struct {
 	const char *what;
 	uint32_t answer; /* tokens; six make an event */
-	pimento_usec_t goal;
-	bool late;
+	pimento_usec_t objective;
+	bool overdue;
 	bool fast_endpoints_leaving;
-	placement_result_t verdict;
+	placement_result_t result;
 } slow_endpoint_cases[] = {
 	{ "a long answer waits", 240, 600 * PIMENTO_MSEC, false, false,
 	  PLACEMENT_FULL },
@@ -177,17 +177,17 @@
 		stream(1000, slow_endpoint_cases[_i].answer);
 	registry_endpoint_t *endpoint;
 
-	request.objective = slow_endpoint_cases[_i].goal;
-	request.overdue = slow_endpoint_cases[_i].late;
+	request.objective = slow_endpoint_cases[_i].objective;
+	request.overdue = slow_endpoint_cases[_i].overdue;
 	for (int i = 0; i < ENDPOINTS - 1; i++) {
 		endpoints[i]->running = SLOTS + 1;
 		endpoints[i]->leaving =
 			slow_endpoint_cases[_i].fast_endpoints_leaving;
 	}
-	ck_assert_msg(place(&request, &endpoint) ==
-			      slow_endpoint_cases[_i].verdict,
+	ck_assert_msg(choose(&request, &endpoint) ==
+			      slow_endpoint_cases[_i].result,
 		      "%s", slow_endpoint_cases[_i].what);
-	if (slow_endpoint_cases[_i].verdict == PLACEMENT_FOUND)
+	if (slow_endpoint_cases[_i].result == PLACEMENT_FOUND)
 		ck_assert_ptr_eq(endpoint, endpoints[ENDPOINTS - 1]);
 }
 END_TEST
@@ -201,9 +201,9 @@
 static const struct {
 	const char *what;
 	pimento_usec_t first_event_within;
-	bool late;
+	bool overdue;
 	bool fast_endpoints_leaving;
-	placement_result_t verdict;
+	placement_result_t result;
 } first_event_cases[] = {
 	{ "it waits for a fast one", 150 * PIMENTO_MSEC, false, false,
 	  PLACEMENT_FULL },
@@ -221,16 +221,16 @@
 	registry_endpoint_t *endpoint;
 
 	request.first_event_within = first_event_cases[_i].first_event_within;
-	request.overdue = first_event_cases[_i].late;
+	request.overdue = first_event_cases[_i].overdue;
 	for (int i = 0; i < ENDPOINTS - 1; i++) {
 		endpoints[i]->running = SLOTS + 1;
 		endpoints[i]->leaving =
 			first_event_cases[_i].fast_endpoints_leaving;
 	}
-	ck_assert_msg(place(&request, &endpoint) ==
-			      first_event_cases[_i].verdict,
+	ck_assert_msg(choose(&request, &endpoint) ==
+			      first_event_cases[_i].result,
 		      "%s", first_event_cases[_i].what);
-	if (first_event_cases[_i].verdict == PLACEMENT_FOUND)
+	if (first_event_cases[_i].result == PLACEMENT_FOUND)
 		ck_assert_ptr_eq(endpoint, endpoints[ENDPOINTS - 1]);
 }
 END_TEST
@@ -244,14 +244,14 @@
  */
 START_TEST(grant_is_declined_if_owner_reports_slow_endpoint)
 {
-	const registry_report_t word = { .event_gap_us = 160 * PIMENTO_MSEC };
+	const registry_report_t report = { .event_gap_us = 160 * PIMENTO_MSEC };
 	placement_request_t request = stream(1000, 600); /* a hundred events */
 	registry_endpoint_t *slow = endpoints[ENDPOINTS - 1];
 
 	latency_init(&slow->latency);
 	ck_assert(placement_accepts_grant(&registry, &request, slow,
 					  PIMENTO_SEC));
-	registry_apply_report(slow, &word, PIMENTO_SEC);
+	registry_apply_report(slow, &report, PIMENTO_SEC);
 	ck_assert(!placement_accepts_grant(&registry, &request, slow,
 					   PIMENTO_SEC));
 	request.answer_tokens = 24;
@@ -260,7 +260,7 @@
 	/* where all are slow it is as good as the others */
 	request.answer_tokens = 600;
 	for (int i = 0; i < ENDPOINTS; i++)
-		registry_apply_report(endpoints[i], &word, PIMENTO_SEC);
+		registry_apply_report(endpoints[i], &report, PIMENTO_SEC);
 	ck_assert(placement_accepts_grant(&registry, &request, slow,
 					  PIMENTO_SEC));
 }
@@ -279,9 +279,9 @@
 	endpoints[3]->latency.event_gap_us = 290 * PIMENTO_MSEC;
 	for (int i = 0; i < ENDPOINTS - 1; i++)
 		endpoints[i]->running = SLOTS + 1;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FULL);
 	request.overdue = true;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_eq(endpoint, endpoints[3]);
 }
 END_TEST
@@ -293,20 +293,20 @@
 START_TEST(request_queues_once_per_endpoint)
 {
 	placement_request_t request = stream(1000, 60);
-	pimento_id_t asked[ENDPOINTS];
+	pimento_id_t queued_at[ENDPOINTS];
 	registry_endpoint_t *endpoint;
 
 	request.may_queue = true;
-	request.queued_at = asked;
+	request.queued_at = queued_at;
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoints[i]->running = SLOTS + 1;
 	for (uint32_t i = 0; i < ENDPOINTS; i++) {
-		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+		ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 		for (uint32_t j = 0; j < i; j++)
-			ck_assert(asked[j] != endpoint->key);
-		asked[request.queued_at_count++] = endpoint->key;
+			ck_assert(queued_at[j] != endpoint->key);
+		queued_at[request.queued_at_count++] = endpoint->key;
 	}
-	ck_assert_int_ne(place(&request, &endpoint), PLACEMENT_FOUND);
+	ck_assert_int_ne(choose(&request, &endpoint), PLACEMENT_FOUND);
 }
 END_TEST
 
@@ -325,14 +325,14 @@
 		endpoints[i]->running = SLOTS + 1;
 	for (int i = 0; i < ENDPOINTS - 1; i++)
 		endpoints[i]->owner_unresponsive_until = 2 * PIMENTO_SEC;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_eq(endpoint, endpoints[ENDPOINTS - 1]);
 	endpoints[ENDPOINTS - 1]->owner_unresponsive_until = 2 * PIMENTO_SEC;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FULL);
 	/* a place that is free is taken without the owner's leave */
 	request.may_queue = false;
 	endpoints[0]->running = 0;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_eq(endpoint, endpoints[0]);
 }
 END_TEST
@@ -384,12 +384,12 @@
 
 START_TEST(consecutive_errors_eject_endpoint)
 {
-	latency_model_t *pace = &endpoints[0]->latency;
+	latency_model_t *latency = &endpoints[0]->latency;
 
 	for (int i = 0; i < 6; i++)
-		latency_update_ejection(pace, service, outcomes[_i].outcomes[i],
-					PIMENTO_SEC);
-	ck_assert_msg((pace->ejected_until > PIMENTO_SEC) ==
+		latency_update_ejection(latency, service,
+					outcomes[_i].outcomes[i], PIMENTO_SEC);
+	ck_assert_msg((latency->ejected_until > PIMENTO_SEC) ==
 			      outcomes[_i].ejected,
 		      "%s", outcomes[_i].what);
 }
@@ -400,7 +400,7 @@
 	placement_request_t request = stream(1000, 60 * 300);
 	registry_endpoint_t *endpoint;
 
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 }
 END_TEST
 
@@ -417,14 +417,14 @@
 	placement_request_t request = stream(1000, 60 * 60);
 	registry_endpoint_t *endpoint;
 
-	for (int late = 0; late < 2; late++) {
-		request.overdue = late;
-		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+	for (int overdue = 0; overdue < 2; overdue++) {
+		request.overdue = overdue;
+		ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 		ck_assert_ptr_ne(endpoint, endpoints[ENDPOINTS - 1]);
 	}
 	for (int i = 0; i < ENDPOINTS - 1; i++)
 		endpoints[i]->running = SLOTS + 1;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FULL);
 }
 END_TEST
 
@@ -462,7 +462,7 @@
 	latency_eject_unreachable(&endpoints[0]->latency, PIMENTO_SEC);
 	for (int i = 1; i < ENDPOINTS; i++)
 		endpoints[i]->running = SLOTS + 1;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FULL);
 }
 END_TEST
 
@@ -473,10 +473,10 @@
 
 	for (int i = 0; i < ENDPOINTS; i++)
 		latency_eject_unreachable(&endpoints[i]->latency, PIMENTO_SEC);
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoints[i]->running = 1;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FULL);
 }
 END_TEST
 
@@ -492,7 +492,7 @@
 
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoints[i]->remote_running = SLOTS + 1;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FULL);
 }
 END_TEST
 
@@ -503,7 +503,7 @@
 
 	endpoints[0]->pending_prompt_tokens = 50000;
 	endpoints[1]->remote_prompt_tokens = 50000;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_eq(endpoint, endpoints[2]);
 }
 END_TEST
@@ -520,15 +520,15 @@
 
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoints[i]->running = SLOTS;
-	for (int late = 0; late < 2; late++) {
-		request.overdue = late;
-		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+	for (int overdue = 0; overdue < 2; overdue++) {
+		request.overdue = overdue;
+		ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 	}
 	for (int i = 0; i < ENDPOINTS; i++)
 		endpoints[i]->running = SLOTS + 1;
-	for (int late = 0; late < 2; late++) {
-		request.overdue = late;
-		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FULL);
+	for (int overdue = 0; overdue < 2; overdue++) {
+		request.overdue = overdue;
+		ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FULL);
 	}
 }
 END_TEST
@@ -543,10 +543,10 @@
 	registry_schedule_removal(&registry, "e3", PIMENTO_SEC / 2);
 	request.tried = tried;
 	request.tried_count = 1;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 	ck_assert_ptr_eq(endpoint, endpoints[1]);
 	request.tried_count = 2;
-	ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_NONE);
+	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_NONE);
 }
 END_TEST
 
@@ -561,7 +561,7 @@
 	ck_assert_int_gt(endpoints[0]->latency.ejected_until, PIMENTO_SEC);
 	for (int i = 0; i < 20; i++) {
 		request.random_bits = (uint64_t)i * 977;
-		ck_assert_int_eq(place(&request, &endpoint), PLACEMENT_FOUND);
+		ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
 		ck_assert_ptr_ne(endpoint, endpoints[0]);
 	}
 }
--- a/test/test_quota_fleet.c
+++ b/test/test_quota_fleet.c
@@ -31,9 +31,9 @@
 	       SLACK_TOKENS;
 }
 
-static void step_ms(uint32_t ms, double times)
+static void step_ms(uint32_t ms, double rate_multiple)
 {
-	const double tiers[QUOTA_SIM_TIERS] = { times };
+	const double tiers[QUOTA_SIM_TIERS] = { rate_multiple };
 
 	for (uint32_t i = 0; i < ms / QUOTA_SIM_STEP_MS; i++)
 		quota_sim_step(&sim, tiers);
@@ -86,7 +86,7 @@
 /* Guards against overuse by restarted hosts that know only some peers. */
 START_TEST(quota_holds_while_restarted_hosts_discover_peers)
 {
-	const double least =
+	const double min_tokens =
 		cases[_i].admitted_ratio_min * 200000.0 * (RUN_S - KILL_S);
 	double admitted;
 	double refused;
@@ -105,9 +105,9 @@
 	refused = sim.requested_tokens[0] - admitted;
 	check_quota(cases[_i].name);
 	ck_assert_msg(
-		admitted >= least,
+		admitted >= min_tokens,
 		"%s: admitted %.0f tokens after the kill, expected at least %.0f",
-		cases[_i].name, admitted, least);
+		cases[_i].name, admitted, min_tokens);
 	ck_assert_msg(refused <= sim.requested_tokens[0] *
 					 cases[_i].refused_ratio_max,
 		      "%s: %.0f of %.0f tokens refused", cases[_i].name,
@@ -131,7 +131,7 @@
 	uint32_t hosts;
 	double load;
 	fault_t fault;
-	double least; /* part of the rate that is admitted over the run */
+	double min_ratio; /* part of the rate that is admitted over the run */
 } fault_cases[] = {
 	{ "steady at the rate", 8, 0.95, NO_FAULT, 0.94 },
 	{ "four times the rate", 8, 4, NO_FAULT, 1.0 },
@@ -202,7 +202,7 @@
 	step_ms((FAULT_RUN_S - FAULT_AT_S - FAULT_FOR_S) * 1000, load);
 	all = quota_sim_admitted(&sim, 0, FAULT_RUN_S);
 	check_quota(fault_cases[_i].name);
-	ck_assert_msg(all >= fault_cases[_i].least * 200000.0 * FAULT_RUN_S,
+	ck_assert_msg(all >= fault_cases[_i].min_ratio * 200000.0 * FAULT_RUN_S,
 		      "%s: only %.0f tokens", fault_cases[_i].name, all);
 	quota_sim_finish(&sim);
 }
@@ -216,9 +216,9 @@
 
 static const struct {
 	const char *name;
-	double asked; /* times the rate, over all hosts */
-	double least; /* part of the rate, in each second after the first few */
-	double most;
+	double rate_multiple; /* times the rate, over all hosts */
+	double min_ratio; /* part of the rate, in each second after the first few */
+	double max_ratio;
 } surge_cases[] = {
 	{ "half as much again", 1.5, 0.5, 1.6 },
 	{ "five times the rate", 5, 0.5, 1.7 },
@@ -229,15 +229,15 @@
 {
 	quota_sim_init(&sim, 58, 3);
 	step_ms(SURGE_AT_S * 1000, 0.5);
-	step_ms((RUN_S - SURGE_AT_S) * 1000, surge_cases[_i].asked);
+	step_ms((RUN_S - SURGE_AT_S) * 1000, surge_cases[_i].rate_multiple);
 	for (uint32_t second = STEADY_FROM_S; second < RUN_S; second++) {
-		double part = quota_sim_admitted(&sim, second, second + 1) /
-			      sim.limit.tokens_per_second;
+		double ratio = quota_sim_admitted(&sim, second, second + 1) /
+			       sim.limit.tokens_per_second;
 
-		ck_assert_msg(part >= surge_cases[_i].least &&
-				      part <= surge_cases[_i].most,
+		ck_assert_msg(ratio >= surge_cases[_i].min_ratio &&
+				      ratio <= surge_cases[_i].max_ratio,
 			      "%s: %.2f of the rate in second %u",
-			      surge_cases[_i].name, part, second);
+			      surge_cases[_i].name, ratio, second);
 	}
 	quota_sim_finish(&sim);
 }
@@ -250,9 +250,9 @@
 static const struct {
 	const char *name;
 	uint32_t hosts;
-	double asked[QUOTA_SIM_TIERS];
-	double least; /* of what tier 0 asks */
-	double most; /* of what the last tier asks */
+	double rate_multiples[QUOTA_SIM_TIERS];
+	double min_ratio; /* of what tier 0 asks */
+	double max_ratio; /* of what the last tier asks */
 } tier_cases[] = {
 	{ "the urgent alone fit", 8, { 0.7, 1.4, 1.4 }, 0.9, 0.25 },
 	{ "the urgent alone are too many", 8, { 2, 2, 2 }, 0.4, 0.1 },
@@ -268,18 +268,18 @@
 {
 	const uint32_t last = QUOTA_SIM_TIERS - 1;
 	double urgent;
-	double rest;
+	double least_urgent;
 
 	quota_sim_init(&sim, tier_cases[_i].hosts, 4);
 	sim.counting = true;
 	for (uint32_t i = 0; i < RUN_S * 1000 / QUOTA_SIM_STEP_MS; i++)
-		quota_sim_step(&sim, tier_cases[_i].asked);
+		quota_sim_step(&sim, tier_cases[_i].rate_multiples);
 	urgent = sim.admitted_tokens[0] / sim.requested_tokens[0];
-	rest = sim.admitted_tokens[last] / sim.requested_tokens[last];
-	ck_assert_msg(urgent >= tier_cases[_i].least, "%s: %.2f",
+	least_urgent = sim.admitted_tokens[last] / sim.requested_tokens[last];
+	ck_assert_msg(urgent >= tier_cases[_i].min_ratio, "%s: %.2f",
 		      tier_cases[_i].name, urgent);
-	ck_assert_msg(rest <= tier_cases[_i].most, "%s: %.2f",
-		      tier_cases[_i].name, rest);
+	ck_assert_msg(least_urgent <= tier_cases[_i].max_ratio, "%s: %.2f",
+		      tier_cases[_i].name, least_urgent);
 	quota_sim_finish(&sim);
 }
 END_TEST
--- a/test/test_retry_budget.c
+++ b/test/test_retry_budget.c
@@ -18,19 +18,20 @@
 {
 	const int steps = WINDOW_S * 1000 / STEP_MS;
 	double requests_in_window = 0;
-	double repeated = 0;
+	double retries_in_window = 0;
 
 	for (int i = 0; i < RUN_S * 1000 / STEP_MS; i++) {
 		requests_in_window += requests[i];
-		repeated += retries[i];
+		retries_in_window += retries[i];
 		if (i >= steps) {
 			requests_in_window -= requests[i - steps];
-			repeated -= retries[i - steps];
+			retries_in_window -= retries[i - steps];
 		}
-		ck_assert_msg(repeated <= limits.ratio * requests_in_window +
-						  limits.slack,
-			      "step %d: %.0f repeats of %.0f", i, repeated,
-			      requests_in_window);
+		ck_assert_msg(retries_in_window <=
+				      limits.ratio * requests_in_window +
+					      limits.slack,
+			      "step %d: %.0f repeats of %.0f", i,
+			      retries_in_window, requests_in_window);
 	}
 }
 
--- a/test/test_wait_queue.c
+++ b/test/test_wait_queue.c
@@ -79,17 +79,18 @@
  */
 START_TEST(overdue_requests_go_behind_timely_ones)
 {
-	wait_queue_item_t late = item(0, 0, 300 * MS, 900 * MS);
-	wait_queue_item_t fresh = item(2, 350 * MS, 650 * MS, 900 * MS);
+	wait_queue_item_t overdue_item = item(0, 0, 300 * MS, 900 * MS);
+	wait_queue_item_t timely_item = item(2, 350 * MS, 650 * MS, 900 * MS);
 
-	wait_queue_push(&queue, &late);
-	wait_queue_push(&queue, &fresh);
+	wait_queue_push(&queue, &overdue_item);
+	wait_queue_push(&queue, &timely_item);
 	ck_assert_ptr_null(wait_queue_next_expired(&queue, 290 * MS));
-	ck_assert_ptr_eq(queue.first, &late);
+	ck_assert_ptr_eq(queue.first, &overdue_item);
 	ck_assert_ptr_null(wait_queue_next_expired(&queue, 400 * MS));
-	ck_assert_ptr_eq(queue.first, &fresh);
-	ck_assert(late.overdue);
-	ck_assert_ptr_eq(wait_queue_next_expired(&queue, 901 * MS), &fresh);
+	ck_assert_ptr_eq(queue.first, &timely_item);
+	ck_assert(overdue_item.overdue);
+	ck_assert_ptr_eq(wait_queue_next_expired(&queue, 901 * MS),
+			 &timely_item);
 }
 END_TEST
 
@@ -106,13 +107,13 @@
 				       .deadline = 10 * PIMENTO_SEC,
 				       .expected_slot_time = 4 * PIMENTO_SEC };
 	wait_queue_item_t resumed = { 0 };
-	wait_queue_item_t fresh =
+	wait_queue_item_t newer =
 		item(0, 5000 * MS, 5300 * MS, 7 * PIMENTO_SEC);
 
 	wait_queue_set_times(&resumed, &timing);
 	resumed.overdue = true;
 	wait_queue_set_resumed(&resumed, &timing, 5 * PIMENTO_SEC);
-	wait_queue_push(&queue, &fresh);
+	wait_queue_push(&queue, &newer);
 	wait_queue_push(&queue, &resumed);
 	ck_assert_ptr_eq(queue.first, &resumed);
 	ck_assert_ptr_null(wait_queue_next_expired(&queue, 5200 * MS));
