--- a/src/client_timeout.c
+++ b/src/client_timeout.c
@@ -1,15 +1,16 @@
 /*
- * Callers of a route start with times that differ a little. Were the whole
- * difference from the longest taken for time spent, most requests would count
- * as late on arrival, and be served last, though they have not waited at all.
- * So only a clear lack counts.
+ * The time-outs of a route's callers differ a little. Were the whole difference
+ * from the longest counted as time spent, most requests would be overdue on
+ * arrival and be served last although they have not waited at all. So only a
+ * clear difference counts.
  */
 
 #include "client_timeout.h"
 
 /*
- * Callers of one route differ in their patience by about a sixth. Less than
- * this part of the most that was seen shows that some was spent before.
+ * The time-outs of one route's callers differ by about a sixth. A time left
+ * below this fraction of the longest one shows that the caller has spent some
+ * on earlier attempts.
  */
 #define UNSPENT_RATIO_MIN 0.8
 
--- a/src/client_timeout.h
+++ b/src/client_timeout.h
@@ -2,21 +2,26 @@
 #define CLIENT_TIMEOUT_H
 
 /*
- * How long callers of one route are willing to wait, learnt from what they say.
- * A caller that was turned away comes back with less time than it had at first;
- * the difference is what it has spent already.
+ * Learns from the times left that callers of a route state in their requests
+ * how long their time-out is. A caller that was rejected retries with less time
+ * than it had at first; the difference is what it has spent on earlier
+ * attempts.
  */
 
 #include "../pimentoshelf.h"
 
 typedef struct client_timeout {
-	pimento_usec_t
-		longest_seen; /* that a caller has time_left; 0 none yet */
+	/*
+	 * longest time left that a request of the route has stated; 0 none
+	 * yet
+	 */
+	pimento_usec_t longest_seen;
 } client_timeout_t;
 
 /*
- * Learns from the time that a request brings (microseconds; 0 if it states
- * none), and returns what its caller has surely spent before, 0 if nothing.
+ * Records the time left that a request states (microseconds; 0 if it states
+ * none). Returns the time that its caller has certainly spent on earlier
+ * attempts, or 0.
  */
 pimento_usec_t client_timeout_elapsed(client_timeout_t *client_timeout,
 				      pimento_usec_t time_left);
--- a/src/latency.c
+++ b/src/latency.c
@@ -1,20 +1,23 @@
 /*
- * Streams give many samples of the pause between events, and that pause grows
- * with an endpoint's slowness and nothing else that one can choose; so it is
- * the measure by which endpoints of a service are compared. The span to the
- * first event is fitted as a regression in the prompt_tokens's length for the service as a
- * whole, scaled by each endpoint's slowness: one endpoint alone sees too few
- * long prompts to tell its own regression.
+ * Streams give many samples of the gap between events, and the gap depends on
+ * the endpoint's speed and on nothing else that a scheduler can choose, so the
+ * endpoints of a service are compared by it. The time to the first event is
+ * fitted as a linear regression over the length of the prompt, for the service
+ * as a whole, and scaled by each endpoint's slowness: a single endpoint gets
+ * too few long prompts to fit a regression of its own.
  */
 
 #include "latency.h"
 
 #include <math.h>
 
-/* Weight of a new sample: events come by the hundred, answers one by one. */
+/*
+ * Weights of a new sample in the moving averages. A gap weighs less than an
+ * answer, as a stream has hundreds of gaps.
+ */
 #define GAP_WEIGHT 0.02
 #define SERVICE_GAP_WEIGHT 0.002
-/* The same for the mean of a stream of some ten events. */
+/* Weights of the mean gap of a stream of some ten events. */
 #define GAP_MEAN_WEIGHT 0.15
 #define SERVICE_GAP_MEAN_WEIGHT 0.02
 #define FIRST_EVENT_WEIGHT 0.1
@@ -22,39 +25,52 @@
 #define SERVICE_FAILURE_RATE_WEIGHT 0.02
 #define REGRESSION_DECAY 0.995
 #define FIRST_EVENT_ERROR_WEIGHT 0.05
-/* Mean errors above the mean, below which nine spans in ten lie. */
+/*
+ * Nine in ten times to the first event lie below the expected time plus this
+ * many mean absolute errors.
+ */
 #define P90_MEAN_ERRORS 2.0
 
-/* Samples before the fitted regression is used. */
+/* Decayed number of samples from which the fitted slope is used. */
 #define REGRESSION_SAMPLES_MIN 12.0
-/* Samples closer together tell no slope. */
+/*
+ * Sum of squared deviations of x up to which the samples are too close together
+ * to fit a slope.
+ */
 #define REGRESSION_X_VARIATION_MIN 1.0
 
-/* Slowness beyond these is a disturbance, not a kind of hardware. */
+/*
+ * Slowness outside these bounds is a disturbance, not a property of the
+ * hardware.
+ */
 #define SLOWNESS_MIN 0.2
 #define SLOWNESS_MAX 12.0
 
-/* An endpoint that is not reached is tried again after this, doubling. */
+/* First and longest ejection of an unreachable endpoint; doubles in between. */
 #define EJECT_UNREACHABLE_MIN (300 * PIMENTO_MSEC)
 #define EJECT_UNREACHABLE_MAX (2 * PIMENTO_SEC)
-/* A full endpoint frees places within about an answer's time. */
+/* A full endpoint frees slots within about the time of one answer. */
 #define EJECT_FULL_TIME (60 * PIMENTO_MSEC)
 
 /*
- * An endpoint that fails this often, and so many times as often as its
- * service, is ejected: failures come at once and make it look the least
- * loaded.
+ * An endpoint is ejected if its failure rate exceeds the minimum and this ratio
+ * times the rate of its service: failures return at once and make the endpoint
+ * look the least loaded.
  */
 #define EJECT_FAILURE_RATE_MIN 0.3
 #define EJECT_FAILURE_RATE_RATIO 1.6
 #define EJECT_FAILING_TIME (700 * PIMENTO_MSEC)
 
 /*
- * Breaks or failures in a row, over all hosts, after which an endpoint counts
- * as unreachable: each frees its slot at once and draws in the next request.
+ * Closed connections and failed answers in a row, over all hosts, after which
+ * an endpoint counts as unreachable: each frees its slot at once and draws in
+ * the next request.
  */
 #define EJECT_CONSECUTIVE_ERRORS 4
-/* Of as many in a row at an endpoint no worse than its service. */
+/*
+ * Accepted probability of that many errors in a row at an endpoint that fails
+ * no more often than its service.
+ */
 #define EJECT_FALSE_POSITIVE_RATE 0.01
 
 void latency_init(latency_model_t *latency_model)
@@ -101,7 +117,10 @@
 	regression->xy = regression->xy * REGRESSION_DECAY + x * y;
 }
 
-/* The regression at x, which never falls; default_slope is its slope while none is known. */
+/*
+ * Value of the regression at x. The slope is at least 0, and default_slope
+ * while the samples are too few.
+ */
 static double regression_at(const latency_regression_t *regression, double x,
 			    double default_slope)
 {
@@ -250,8 +269,9 @@
 }
 
 /*
- * Failures in a row that single an endpoint out. Where the whole service fails
- * half of its requests, four in a row are common at each endpoint.
+ * Number of errors in a row after which an endpoint is ejected. Where a whole
+ * service fails half of its requests, four in a row are common at each of its
+ * endpoints, so the limit rises with the service's failure rate.
  */
 static uint32_t consecutive_errors_limit(const latency_service_t *service)
 {
@@ -283,8 +303,10 @@
 			break;
 		/* fallthrough */
 	case LATENCY_OUTCOME_UNREACHABLE:
-		/* one that is left alone already was tried by requests that
-		 * were on their way: they tell nothing new */
+		/*
+		 * Outcomes of requests that were in flight when the endpoint
+		 * was ejected are no new evidence and do not prolong it.
+		 */
 		if (latency_model->ejected_until <= now)
 			latency_eject_unreachable(latency_model, now);
 		break;
--- a/src/latency.h
+++ b/src/latency.h
@@ -2,118 +2,141 @@
 #define LATENCY_H
 
 /*
- * What is learnt of one endpoint from its answers: how long it takes to the
- * first event and between events, how often it fails, and whether it is to be
- * left alone for a while. Nothing here is configured; an endpoint starts as an
- * average one of its service.
+ * Estimates the latency and the failure rate of an endpoint from its answers:
+ * the time to the first event, the gap between events, the share of failed
+ * requests, and whether the endpoint is ejected for a while. Nothing here is
+ * configured; an endpoint starts as an average one of its service. Values of
+ * type double whose name ends in _us, and expected times, are in microseconds.
  */
 
 #include "../pimentoshelf.h"
 
 typedef struct latency_model {
-	double event_gap_us; /* microseconds between events of one stream; 0 unknown */
-	double first_event_us; /* microseconds to the answer; 0 unknown */
-	double failure_rate; /* share of requests that failed, decayed */
-	uint32_t consecutive_unreachable; /* in a row without an answer */
-	uint32_t
-		consecutive_errors; /* LATENCY_OUTCOME_RESET and LATENCY_OUTCOME_FAILED in a row */
-	pimento_usec_t ejected_until; /* no new work before that */
+	/* mean gap between events of a stream; 0 unknown */
+	double event_gap_us;
+	/* mean time to the start of an answer; 0 unknown */
+	double first_event_us;
+	/* moving average of the share of failed requests */
+	double failure_rate;
+	/* ejections as unreachable since the last answer */
+	uint32_t consecutive_unreachable;
+	uint32_t consecutive_errors; /* resets and failures in a row */
+	pimento_usec_t ejected_until; /* gets no new requests before that */
 } latency_model_t;
 
-/* Decayed sums of a line y = base + slope * x. */
+/* Linear regression y = base + slope * x over exponentially decayed sums. */
 typedef struct latency_regression {
 	double weight, x, y, xx, xy;
 } latency_regression_t;
 
-/* Of a whole service, to judge and to predict its endpoints by. */
+/* Model of a whole service, to which its endpoints are compared. */
 typedef struct latency_service {
-	double event_gap_us; /* mean of what its streams show */
+	/* mean gap between events of all its streams; 0 unknown */
+	double event_gap_us;
 	double failure_rate;
-	latency_regression_t
-		events_by_tokens; /* logarithm of events over that of tokens expected */
-	latency_regression_t
-		first_event_by_prompt; /* span over prompt_tokens, divided by the slowness */
-	double first_event_error_us; /* mean distance from that line; 0 unknown */
+	/* x: log of the tokens expected by the caller, y: log of the events */
+	latency_regression_t events_by_tokens;
+	/*
+	 * x: prompt tokens, y: time to the first event, divided by the
+	 * endpoint's slowness
+	 */
+	latency_regression_t first_event_by_prompt;
+	/* mean absolute error of that regression; 0 unknown */
+	double first_event_error_us;
 } latency_service_t;
 
-/* What a request has found out of its endpoint; hosts tell the owner. */
+/* Outcome of a request at its endpoint; hosts report it to the owner. */
 typedef enum latency_outcome {
-	LATENCY_OUTCOME_NONE, /* it ended before there was an answer */
+	LATENCY_OUTCOME_NONE, /* the request ended before there was an answer */
 	LATENCY_OUTCOME_ANSWERED,
 	LATENCY_OUTCOME_FULL,
-	LATENCY_OUTCOME_RESET, /* a new connection broke before any byte of an answer */
+	/* a new connection closed before the first byte of an answer */
+	LATENCY_OUTCOME_RESET,
 	LATENCY_OUTCOME_UNREACHABLE,
-	LATENCY_OUTCOME_FAILED, /* an answer that is a failure of the endpoint's own */
+	/* the answer is an error of the endpoint itself */
+	LATENCY_OUTCOME_FAILED,
 	LATENCY_OUTCOMES
 } latency_outcome_t;
 
 void latency_init(latency_model_t *latency_model);
 
-/* An event came gap after the one before. */
+/* Adds the gap between two events of a stream. */
 void latency_add_gap(latency_model_t *latency_model, latency_service_t *service,
 		     pimento_usec_t gap);
-/* The mean of a whole stream, as another host has seen it. */
+/* Adds the mean gap of a whole stream that another host has relayed. */
 void latency_add_mean_gap(latency_model_t *latency_model,
 			  latency_service_t *service, pimento_usec_t gap);
 /*
- * The answer began after span; prompt_tokens counts its tokens and those of prompts
- * that were to be read before.
+ * Adds the time to the first event of an answer. prompt_tokens counts the
+ * request's own prompt and those that the engine had to process before it.
  */
 void latency_add_first_event(latency_model_t *latency_model,
 			     latency_service_t *service, pimento_usec_t span,
 			     uint32_t prompt_tokens);
-/* A stream of which so many tokens were expected ended after some events. */
+/*
+ * Adds the number of events of a complete stream, of which expected_tokens
+ * were expected.
+ */
 void latency_add_length(latency_service_t *service, uint32_t expected_tokens,
 			uint32_t events);
 void latency_add_success(latency_model_t *latency_model,
 			 latency_service_t *service);
-/* A request failed although the endpoint had answered: it may be faulty. */
+/*
+ * Adds a request that failed although the endpoint answered. Ejects the
+ * endpoint if it fails far more often than its service.
+ */
 void latency_add_failure(latency_model_t *latency_model,
 			 latency_service_t *service, pimento_usec_t now);
-/* Nothing was reached or came back at all. */
+/*
+ * Ejects an endpoint that could not be reached or did not answer; the time
+ * doubles with each ejection in a row.
+ */
 void latency_eject_unreachable(latency_model_t *latency_model,
 			       pimento_usec_t now);
-/* It said that it is full. */
+/* Ejects for a moment an endpoint that reported that it is full. */
 void latency_eject_full(latency_model_t *latency_model, pimento_usec_t now);
 
-/* "answers", "breaks", ...; never NULL. */
+/* Name of an outcome for reports, such as "answers" or "breaks"; never NULL. */
 const char *latency_outcome_name(latency_outcome_t outcome);
-/* Learns from a finding, of this host or of another. */
+/*
+ * Ejects the endpoint if an outcome, of this host or another, gives reason
+ * to.
+ */
 void latency_update_ejection(latency_model_t *latency_model,
 			     const latency_service_t *service,
 			     latency_outcome_t outcome, pimento_usec_t now);
-/* Learns how often requests of another host fail. */
+/* Adds the outcome of another host's request to the failure rates. */
 void latency_update_failure_rate(latency_model_t *latency_model,
 				 latency_service_t *service,
 				 latency_outcome_t outcome, pimento_usec_t now);
-/* True if it fails far more often than its service. */
+/* True if the endpoint fails far more often than its service. */
 bool latency_is_failing(const latency_model_t *latency_model,
 			const latency_service_t *service);
 
-/* How much slower than its service's mean; 1 unknown. */
+/* Mean gap of the endpoint divided by its service's mean gap; 1 unknown. */
 double latency_slowness(const latency_model_t *latency_model,
 			const latency_service_t *service);
-/* Expected span to the first event when nothing waits there. */
+/* Expected time to the first event if no other prompt waits at the endpoint. */
 double latency_expected_first_event(const latency_model_t *latency_model,
 				    const latency_service_t *service,
 				    uint32_t prompt_tokens);
-/* The same, for nine requests in ten: they take no longer than this. */
+/* 90th percentile of the time to the first event. */
 double latency_p90_first_event(const latency_model_t *latency_model,
 			       const latency_service_t *service,
 			       uint32_t prompt_tokens);
 
-/* Expected span between events there. */
+/* Expected gap between events of a stream of the endpoint. */
 double latency_expected_gap(const latency_model_t *latency_model,
 			    const latency_service_t *service);
 /*
- * Expected events of an answer of which the caller expects so many tokens; 0
- * unknown. Guesses far off the usual are mostly wrong: of those ten times as
- * long as the usual answer half are, so the line in logarithms is flatter than
- * one to one, and is learnt.
+ * Expected events of an answer of which the caller expects expected_tokens; 0
+ * unknown. Estimates far from the usual length are mostly wrong: half of those
+ * of ten times the usual length are. The regression in logarithms is therefore
+ * flatter than one to one, and is fitted to the observed lengths.
  */
 double latency_expected_events(const latency_service_t *service,
 			       uint32_t expected_tokens);
-/* Expected span from the first event to the last; 0 unknown. */
+/* Expected time from the first event of a stream to the last; 0 unknown. */
 double latency_expected_stream_time(const latency_model_t *latency_model,
 				    const latency_service_t *service,
 				    uint32_t expected_tokens);
--- a/src/placement.c
+++ b/src/placement.c
@@ -1,44 +1,70 @@
 /*
- * Engines admit in order of arrival, so requests wait here while no endpoint
- * has a free slot, where a more urgent one can still overtake. Counts of what
- * is in flight elsewhere are as old as the last report; a random part of the
- * cost spreads hosts that see the same free slot.
+ * Model engines admit requests in order of arrival. While no endpoint has a
+ * free slot, requests therefore wait in this process, where a more urgent one
+ * can still overtake them. Counts of other hosts' requests in flight are as old
+ * as the last report; a random part of the cost spreads hosts that see the same
+ * free slot.
  */
 
 #include "placement.h"
 
 #include <math.h>
 
-/* Sent ahead, to bridge the report of a free slot and the way to it. */
+/*
+ * Requests in flight at an engine beyond its slots: they fill a slot that falls
+ * free while the report of it and the next request are still on their way.
+ */
 #define ENGINE_EXTRA_IN_FLIGHT 1
 
-/* The same where answers are short and more slots fall free meanwhile. */
+/*
+ * Requests in flight at a plain service beyond its slots. Its answers are
+ * short, so that more slots fall free during that time than at an engine.
+ */
 #define PLAIN_EXTRA_IN_FLIGHT 3
 
-/* Cost of a full batch against an empty one, in parts of the first event. */
+/*
+ * Added cost of a full batch over an empty one, as a fraction of the expected
+ * time to the first event.
+ */
 #define LOAD_COST 0.8
-/* One that was not reached looks idle; the others are worth more of a wait. */
+/*
+ * Cost factor of an endpoint that could not be reached. It has little in flight
+ * and would look idle; a longer wait at another endpoint is preferable.
+ */
 #define UNREACHABLE_COST 5.0
-/* Cost of each request that waits in the endpoint's line. */
+/* Added cost ratio of each request in the endpoint's wait queue. */
 #define QUEUED_COST 0.3
-/* Random part of the cost. */
+/* Largest random addition to the cost, as a ratio. */
 #define RANDOM_COST 0.15
-/* An endpoint in another data centre: latency, and bytes between them. */
+/*
+ * Added cost ratio of an endpoint in another data centre, for the latency and
+ * the traffic between data centres.
+ */
 #define REMOTE_DATACENTRE_COST 0.3
-/* A new connection costs a round trip, and endpoints bound their number. */
+/*
+ * Added cost ratio of a new connection: it takes a round trip, and endpoints
+ * limit the number of connections.
+ */
 #define CONNECT_COST 1.2
-/* Failing endpoints look quick; a failure costs the whole request. */
+/*
+ * Added cost ratio at a failure rate of 1. Endpoints that fail look fast, while
+ * a failure costs the whole request.
+ */
 #define FAILING_COST 6.0
-/* Callers' guesses of an answer's length are often off by this factor. */
+/* Callers' estimates of the answer's length are often off by this factor. */
 #define LENGTH_HINT_ERROR_FACTOR 2.0
-/* A mean pause this much below the goal leaves headroom for prompts in between. */
+/*
+ * The mean gap between events of a stream must be below the gap objective by
+ * this factor, as headroom for prompts that the engine processes in between.
+ */
 #define GAP_MARGIN 1.3
 /*
- * An answer that takes so many goals longer than usual waits for another
- * slot.
+ * An answer whose stream would take longer at an endpoint than at an average
+ * one of the service, by more than this many latency objectives, waits for a
+ * slot at another endpoint.
  */
 #define SLOT_TIME_EXCESS_OBJECTIVES 2.0
-/* Used when no answer has been seen: microseconds to a first answer. */
+/* Assumed time to the first event while no answer has been seen. */
 #define FIRST_EVENT_DEFAULT_US 50000.0
 
 uint32_t placement_in_flight_limit(const registry_service_t *service,
@@ -71,7 +97,10 @@
 	return false;
 }
 
-/* True if the request is not to be sent there, or asks there already. */
+/*
+ * True if the request was already sent to the endpoint of this key, or waits in
+ * its queue.
+ */
 static bool is_excluded(const placement_request_t *request, pimento_id_t key)
 {
 	return contains(request->tried, request->tried_count, key) ||
@@ -95,7 +124,10 @@
 	return (double)(hash >> 40) / (double)(1u << 24);
 }
 
-/* Span to the first event, as the endpoint's pace and queue let expect. */
+/*
+ * Expected time to the first event in microseconds, from the endpoint's latency
+ * model and the prompt tokens that it has yet to process.
+ */
 static double expected_first_event(const registry_endpoint_t *endpoint,
 				   const registry_service_t *service,
 				   const placement_request_t *request)
@@ -111,7 +143,7 @@
 	return first > 0 ? first : FIRST_EVENT_DEFAULT_US;
 }
 
-/* Expected span until the answer is whole. */
+/* Expected time until the answer is complete, in microseconds. */
 static double expected_completion(const registry_endpoint_t *endpoint,
 				  const registry_service_t *service,
 				  const placement_request_t *request)
@@ -122,7 +154,7 @@
 					    request->answer_tokens);
 }
 
-/* True if a stream's pauses are expected to be short enough. */
+/* True if the expected gap between events meets the stream's gap objective. */
 static bool meets_gap_objective(const registry_endpoint_t *endpoint,
 				const registry_service_t *service,
 				const placement_request_t *request)
@@ -130,14 +162,15 @@
 	double gap =
 		latency_expected_gap(&endpoint->latency, &service->latency);
 
-	/* one that is late anyway finds out whether pauses are still long */
+	/* an overdue request probes whether the gaps are still long */
 	return !request->gap_objective || request->overdue ||
 	       gap * GAP_MARGIN <= (double)request->gap_objective;
 }
 
 /*
- * True if the answer would hold a slot there far longer than elsewhere, while
- * short answers, which could be on time there, are turned away.
+ * True if the answer would hold a slot of this endpoint far longer than of an
+ * average one, while short answers, which could meet their objective here, are
+ * rejected for lack of a slot.
  */
 static bool exceeds_slot_time(const registry_endpoint_t *endpoint,
 			      const registry_service_t *service,
@@ -157,8 +190,9 @@
 }
 
 /*
- * True if the answer would begin too late there though the request can still
- * be on time: a slot that falls free elsewhere a little later is in time.
+ * True if the answer of this endpoint would begin too late although the request
+ * can still meet its objective: a slot that falls free at another endpoint a
+ * little later would do.
  */
 static bool misses_first_event(const registry_endpoint_t *endpoint,
 			       const registry_service_t *service,
@@ -169,17 +203,20 @@
 		       (double)request->first_event_within;
 }
 
-/* How well an endpoint fits a request; better ones come first. */
+/* How well an endpoint fits a request; a greater value is better. */
 typedef enum fit {
-	FIT_EXCEEDS_TIMEOUT, /* the caller leaves long before the end */
-	FIT_MARGINAL, /* it may be whole in time, or will be late */
+	/* the caller times out long before the answer is complete */
+	FIT_EXCEEDS_TIMEOUT,
+	/* the answer may be incomplete at the time-out or miss an objective */
+	FIT_MARGINAL,
 	FIT_GOOD
 } fit_t;
 
 /*
- * A long answer on slow hardware is cut at the caller's deadline after it
- * held a slot for all that time. Callers' guesses of its length are often
- * wrong, so one that fits nowhere is still tried where it is least hopeless.
+ * A long answer on slow hardware is cut off at the caller's deadline after it
+ * has held a slot for all that time. Callers' estimates of its length are often
+ * wrong, so a request that fits no endpoint still goes to the one with the best
+ * fit.
  */
 static fit_t endpoint_fit(const registry_endpoint_t *endpoint,
 			  const registry_service_t *service,
@@ -222,17 +259,22 @@
 	return first;
 }
 
-/* What a walk over the endpoints finds. */
+/* State of the search over the endpoints. */
 typedef struct choice {
 	registry_endpoint_t *best;
-	double cost;
-	registry_endpoint_t *ejected_idle; /* ejected, with nothing to do */
-	bool any_untried; /* that was not tried */
-	bool any_not_ejected; /* that is not ejected */
-	fit_t best_fit; /* the best of a sound one, full or not */
+	double cost; /* cost of best */
+	/* ejected, with no request of this host in flight */
+	registry_endpoint_t *ejected_idle;
+	bool any_untried; /* an endpoint is left that was not tried */
+	bool any_not_ejected; /* one of those left is not ejected */
+	/* best fit of an endpoint that is not ejected, full or not */
+	fit_t best_fit;
 } choice_t;
 
-/* An owner that does not answer keeps no queue to wait in. */
+/*
+ * True if the request needs a wait queue and the owner that keeps it does not
+ * answer.
+ */
 static bool cannot_queue_at(const registry_endpoint_t *endpoint,
 			    const placement_request_t *request,
 			    pimento_usec_t now)
@@ -257,7 +299,7 @@
 	choice->any_not_ejected = true;
 	fit = endpoint_fit(endpoint, service, request);
 	if (fit > choice->best_fit) {
-		/* those seen so far fit worse: they are no choice any more */
+		/* this endpoint fits better than all before: drop those */
 		choice->best_fit = fit;
 		choice->best = NULL;
 		choice->cost = INFINITY;
--- a/src/placement.h
+++ b/src/placement.h
@@ -2,8 +2,9 @@
 #define PLACEMENT_H
 
 /*
- * Chooses the endpoint for a request: of those with a free place, the one that
- * is expected to answer first.
+ * Selects the endpoint for a request: among the endpoints of its service that
+ * have a free slot, the one with the lowest expected time to the first event of
+ * the answer, weighted by load, failures and distance.
  */
 
 #include "registry.h"
@@ -13,34 +14,50 @@
 
 typedef struct placement_request {
 	pimento_id_t service;
-	uint32_t prompt_tokens; /* tokens */
-	uint32_t answer_tokens; /* tokens, as the caller expects; 0 unknown */
-	pimento_usec_t time_left; /* until the caller or the route gives up */
-	pimento_usec_t objective; /* from its arrival to the answer; 0 none */
-	pimento_usec_t first_event_within; /* to be on time; 0 or less: any */
-	pimento_usec_t
-		gap_objective; /* longest good pause of a stream; 0 any */
-	bool engine_stream; /* a stream from a model engine */
-	bool overdue; /* cannot be on time any more */
-	const char *datacentre; /* of this host; nearer endpoints are cheaper */
-	const pimento_id_t *tried; /* endpoints that had this request */
+	uint32_t prompt_tokens;
+	uint32_t answer_tokens; /* expected by the caller; 0 unknown */
+	/* until time-out of the caller or the route */
+	pimento_usec_t time_left;
+	/*
+	 * objective for the time from arrival to the start of the answer; 0
+	 * none
+	 */
+	pimento_usec_t objective;
+	/*
+	 * time left until the first event misses the objective; <= 0: no
+	 * limit
+	 */
+	pimento_usec_t first_event_within;
+	/* longest acceptable gap between events of a stream; 0 no limit */
+	pimento_usec_t gap_objective;
+	bool engine_stream; /* the answer is a stream from a model engine */
+	bool overdue; /* the request can no longer meet its objective */
+	/* data centre of this host; endpoints in it are preferred */
+	const char *datacentre;
+	/* endpoints that the request was already sent to */
+	const pimento_id_t *tried;
 	uint32_t tried_count;
-	const pimento_id_t *queued_at; /* endpoints in whose lines it stands */
+	/* endpoints whose wait queues hold the request */
+	const pimento_id_t *queued_at;
 	uint32_t queued_at_count;
-	bool may_queue; /* full ones too: it is to wait at the best of them */
-	uint64_t random_bits; /* random, to spread hosts that see the same */
+	/* also consider full endpoints, to wait in the queue of the best */
+	bool may_queue;
+	/* random, so that hosts with equal views choose different endpoints */
+	uint64_t random_bits;
 } placement_request_t;
 
-/* Why there is no endpoint. */
+/* Result of the selection. */
 typedef enum placement_result {
 	PLACEMENT_FOUND,
-	PLACEMENT_FULL, /* some exist, but have no free place */
-	PLACEMENT_NONE /* none is listed, or each was tried */
+	/* usable endpoints exist, but none that suits has a free slot */
+	PLACEMENT_FULL,
+	PLACEMENT_NONE /* no usable endpoint is listed, or all were tried */
 } placement_result_t;
 
 /*
- * Sets endpoint if PLACEMENT_FOUND. An endpoint that is ejected is used only
- * when all are, since it may work again, and for one request at a time.
+ * Sets *endpoint if it returns PLACEMENT_FOUND. Ejected endpoints are used only
+ * when all are ejected, as one may have recovered, and for one request at a
+ * time.
  */
 placement_result_t placement_choose(registry_t *registry,
 				    const placement_request_t *request,
@@ -48,20 +65,24 @@
 				    registry_endpoint_t **endpoint);
 
 /*
- * True if a place given there is to be taken: the request can be served well
- * there, or nowhere else either. What the owner says with the place may be the
- * first that this host hears of the endpoint's speed.
+ * True if a slot that was granted at the endpoint is to be used: the request
+ * fits well there, or no better at any other endpoint. The owner's report that
+ * comes with the grant may be the first information that this host has about
+ * the endpoint's speed.
  */
 bool placement_accepts_grant(registry_t *registry,
 			     const placement_request_t *request,
 			     const registry_endpoint_t *endpoint,
 			     pimento_usec_t now);
 
-/* Requests that an endpoint of the service may have in flight. */
+/* Maximum number of requests in flight at an endpoint of the service. */
 uint32_t placement_in_flight_limit(const registry_service_t *service,
 				   const registry_endpoint_t *endpoint);
 
-/* Places of a service: taken counts requests in flight anywhere. */
+/*
+ * Slots of a service's endpoints, and requests in flight there from all
+ * hosts.
+ */
 typedef struct placement_headroom {
 	uint32_t capacity;
 	uint32_t in_flight;
--- a/src/quota.c
+++ b/src/quota.c
@@ -1,14 +1,14 @@
 /*
- * A bucket that drains at rate + part * burst / window and holds the rest of
- * the burst lets through, in any window, rate * window + burst: as much as the
- * operator states, for any part. A larger part gives an account that asks for
- * more than its rate all the time more of what it is owed, a smaller one is
- * kinder to sudden bursts.
+ * A bucket that drains at rate + ratio * burst / window and holds the rest of
+ * the burst admits, in any window, rate * window + burst, for any ratio: as
+ * much as the operator allows. A larger ratio gives an account that always
+ * exceeds its rate more of its quota, a smaller one leaves more room for sudden
+ * bursts.
  *
- * A host that takes an account over goes on from the level that was last
- * reported. When all hosts were killed together nobody knows one; the bucket
- * then starts a quarter full. The operator's tolerance over a window
- * holds what is used twice then.
+ * A host that takes over an account continues from the level that was last
+ * reported. After all hosts were killed together no host knows a level; the
+ * bucket then starts a quarter full. What is admitted twice in that case stays
+ * within the operator's tolerance over a window.
  */
 
 #include "quota.h"
@@ -16,29 +16,30 @@
 #include <math.h>
 #include <stdlib.h>
 
-/* Room beside the burst, in seconds of the rate. */
+/* Capacity of a bucket beside the burst, in seconds of the rate. */
 #define BUCKET_EXTRA_SECONDS 0.5
 /*
- * Part of the burst that drains with the rate, and part that may come at
- * once. Their sum above 1 uses some of the operators' tolerance for an
- * account that is over its quota all the time.
+ * Fraction of the burst that drains with the rate, and fraction that may be
+ * used at once. Their sum exceeds 1, which uses some of the operator's
+ * tolerance for an account that is over its quota all the time.
  */
 #define BURST_DRAIN_RATIO 0.75
 #define BURST_BUCKET_RATIO 0.75
-/* Part of the bucket_size that counts as used when nothing is known. */
+/* Fraction of the bucket that counts as used if no level is known. */
 #define UNKNOWN_LEVEL_RATIO 0.25
 /*
- * Beyond this part of the bucket the account is scarce: what drains is given
- * out by tier, and the bucket is held at the part aimed at. Up to so much more
- * or less than drains is admitted that the aim is reached in this time.
+ * Above SCARCE_LEVEL_RATIO of its bucket an account is scarce: requests are
+ * admitted by tier at the drain rate, which is corrected by up to
+ * RATE_CORRECTION_MAX either way so that the level reaches TARGET_LEVEL_RATIO
+ * within TARGET_REACH_SECONDS.
  */
 #define SCARCE_LEVEL_RATIO 0.65
 #define TARGET_LEVEL_RATIO 0.8
 #define TARGET_REACH_SECONDS 2.0
 #define RATE_CORRECTION_MAX 0.5
-/* Part of the bucket that is reserved for more urgent requests. */
+/* Fraction of the bucket that is reserved for more urgent requests. */
 #define URGENT_RESERVE_RATIO 0.2
-/* Reports that are older are not passed on. */
+/* Older reports are not forwarded. */
 #define REPORT_AGE_MAX (2 * PIMENTO_SEC)
 
 void quota_init(quota_t *quota, pimento_usec_t window, bool first_start)
@@ -102,7 +103,7 @@
 		limit.tokens_per_second * BUCKET_EXTRA_SECONDS);
 }
 
-/* Tokens a second that drain. */
+/* Tokens per second that drain from the bucket. */
 static double drain_rate(const quota_t *quota, quota_limit_t limit)
 {
 	return quota->limit_ratio *
@@ -110,7 +111,7 @@
 		limit.burst * BURST_DRAIN_RATIO / seconds(quota->window));
 }
 
-/* What another host reported, as it has drained since. */
+/* Level that another host reported, less what has drained since. */
 static double drained_report_level(const quota_t *quota,
 				   const quota_usage_t *usage,
 				   pimento_usec_t now)
@@ -126,7 +127,7 @@
 static void init_level(const quota_t *quota, quota_usage_t *usage,
 		       pimento_usec_t now)
 {
-	/* in that time any owner would have been heard of the account */
+	/* within one window a report of any owner would have arrived */
 	bool known = quota->first_start || usage->reported_at ||
 		     now - quota->started_at > quota->window;
 
@@ -143,12 +144,12 @@
 	usage->level -= seconds(now - usage->drained_at) *
 			drain_rate(quota, usage->limit);
 	usage->drained_at = now;
-	/* while another host owned the account, only its reports count */
+	/* admissions by another owner are only known from its reports */
 	usage->level =
 		fmax(usage->level, drained_report_level(quota, usage, now));
 }
 
-/* Tokens a second that may be admitted of a scarce account. */
+/* Tokens per second that a scarce account may use. */
 static double fair_rate(const quota_t *quota, const quota_usage_t *usage)
 {
 	double drains = drain_rate(quota, usage->limit);
@@ -170,7 +171,7 @@
 	quota_share_refill(&usage->share, fair_rate(quota, usage), now);
 	reserved = URGENT_RESERVE_RATIO *
 		   quota_share_reserved(&usage->share, tier, tokens, now);
-	/* one that is larger than the whole bucket waits for an empty one */
+	/* a request above the bucket's capacity needs an empty bucket */
 	if (usage->level > 0 &&
 	    usage->level + tokens > capacity * (1 - reserved))
 		return false;
@@ -243,7 +244,10 @@
 	usage->reported_at = at;
 }
 
-/* What there is to pass on of an account; false if nothing recent. */
+/*
+ * Makes the report of an account to gossip; false if there is no recent
+ * level.
+ */
 static bool make_report(const quota_t *quota, quota_usage_t *usage,
 			pimento_usec_t now, quota_report_t *report)
 {
--- a/src/quota.h
+++ b/src/quota.h
@@ -2,86 +2,95 @@
 #define QUOTA_H
 
 /*
- * What client accounts may use: in any window, an account's rate times the
- * window and its burst. It is kept as a bucket, which needs no memory of single
- * requests. The host that owns an account keeps its bucket for all hosts
- * (quota_fleet.h).
+ * Token quotas of client accounts: in any window an account may use its rate
+ * times the window plus its burst. The quota is kept as a leaky bucket, which
+ * needs no record of single requests. The host that owns an account keeps its
+ * bucket for all hosts (quota_fleet.h).
  */
 
 #include "quota_share.h"
 
 typedef struct quota_limit {
-	double tokens_per_second; /* tokens; 0 no limit */
-	double burst;
+	double tokens_per_second; /* 0 no limit */
+	double burst; /* tokens */
 } quota_limit_t;
 
-/* What the owner of an account reports of it. */
+/* Report of an account's bucket by its owner. */
 typedef struct quota_report {
-	uint32_t account; /* low half of its key */
-	double level; /* tokens in the bucket */
-	pimento_usec_t age; /* since the owner reported it */
+	uint32_t account; /* low half of the account's key */
+	double level; /* tokens in the bucket: used and not yet drained */
+	pimento_usec_t age; /* time since the owner made the report */
 } quota_report_t;
 
 typedef struct quota_usage {
-	uint32_t account;
-	quota_limit_t limit; /* as last stated */
-	uint64_t version; /* of the configuration that states it */
-	double level; /* tokens in the bucket */
-	bool initialised; /* it was settled once */
+	uint32_t account; /* low half of the account's key */
+	quota_limit_t limit; /* as last configured */
+	uint64_t version; /* version of the configuration that sets the limit */
+	double level; /* tokens in the bucket: used and not yet drained */
+	bool initialised; /* level has its initial value */
 	pimento_usec_t drained_at; /* when level was last drained */
-	pimento_usec_t admitted_at; /* the last request; 0 never */
-	quota_share_t share; /* by tier, while the account is scarce */
-	double reported_level; /* level, as another host reported it */
-	pimento_usec_t reported_at; /* 0 never */
+	/* time of the last request, admitted or not; 0 never */
+	pimento_usec_t admitted_at;
+	/* divides the rate by tier while the account is scarce */
+	quota_share_t share;
+	double reported_level; /* level in the newest report of another host */
+	pimento_usec_t reported_at; /* time of that report; 0 none */
 } quota_usage_t;
 
 typedef struct quota {
-	bool first_start; /* nothing can have been used before this host */
-	pimento_usec_t window; /* that the operator counts in */
-	pimento_usec_t started_at; /* first request or report; 0 none */
-	double limit_ratio; /* of each limit that this host may give out, (0, 1] */
+	/* the system starts for the first time: nothing was used before */
+	bool first_start;
+	pimento_usec_t window; /* window for which the operator states limits */
+	/* time of the first request or report; 0 none */
+	pimento_usec_t started_at;
+	/* fraction of each quota limit that this host may admit, (0, 1] */
+	double limit_ratio;
 	quota_usage_t *usages;
 	uint32_t count;
-	uint32_t next_report; /* of the accounts to be reported */
+	uint32_t next_report; /* position of the next account to report */
 } quota_t;
 
 void quota_init(quota_t *quota, pimento_usec_t window, bool first_start);
 void quota_finish(quota_t *quota);
 
 /*
- * Takes the limit that a version of the configuration states, and returns the
- * one of the newest version seen.
+ * Records the limit of an account in a version of the configuration. Returns
+ * the limit in the newest version seen.
  */
 quota_limit_t quota_update_limit(quota_t *quota, uint32_t account,
 				 uint64_t version, quota_limit_t limit);
 
 /*
- * Admits tokens if they fit, and counts them. Returns 0, PIMENTO_EFULL if the
- * account is over its quota, or PIMENTO_ENOMEM.
+ * Admits and counts a request for tokens if it fits the account's quota.
+ * Returns 0, PIMENTO_EFULL if the account is over its quota, or PIMENTO_ENOMEM.
  */
 int quota_admit(quota_t *quota, pimento_id_t account, quota_limit_t limit,
 		uint32_t tier, double tokens, pimento_usec_t now);
 
-/* The request was turned away after all and has not run. */
+/*
+ * Returns the tokens of an admitted request that was rejected later and has
+ * not run.
+ */
 void quota_refund(quota_t *quota, pimento_id_t account, double tokens);
 
-/* When room for tokens may be there again; for a caller told to come back. */
+/* Time after which a rejected caller may retry a request for tokens. */
 pimento_usec_t quota_retry_after(const quota_t *quota, pimento_id_t account,
 				 quota_limit_t limit, double tokens);
 
-/* Tokens in an account's bucket, as this host last saw it. */
+/* Level of an account's bucket, in tokens, at its last update on this host. */
 double quota_level(const quota_t *quota, pimento_id_t account);
 
 /*
- * Takes a report: the level at a time. A host that becomes the owner goes on
- * from there.
+ * Applies a report of the level at a time. A host that becomes the owner
+ * continues from the reported level.
  */
 void quota_apply_report(quota_t *quota, uint32_t account, double level,
 			pimento_usec_t at);
 
 /*
- * Reports to pass on, at most max, each time of other accounts: of those that
- * this host admits for, and what others reported lately. Returns how many.
+ * Fills in at most max reports to gossip, in turn over the accounts: levels of
+ * accounts for which this host admits requests, and recent reports of other
+ * hosts. Returns the number of reports.
  */
 uint32_t quota_collect_reports(quota_t *quota, quota_report_t *reports,
 			       uint32_t max, pimento_usec_t now);
--- a/src/quota_fleet.c
+++ b/src/quota_fleet.c
@@ -2,20 +2,26 @@
 
 #include <stdlib.h>
 
-/* Bypass a host that does not answer. */
+/* A host that does not answer a request in time is bypassed for a while. */
 #define REQUEST_TIMEOUT (60 * PIMENTO_MSEC)
 #define UNRESPONSIVE_TIME (1 * PIMENTO_SEC)
 /*
- * A restarted host that still discovers peers takes others for owners than
- * they do. Were each of them to give out a whole limit, a surge would have it
- * many times over.
+ * Requests of a restarted host that is still discovering its peers are deferred
+ * for up to this time: with an incomplete list of hosts it picks other owners
+ * than the rest do. Were each of these to admit a whole limit, a surge would be
+ * admitted many times over.
  */
 #define DISCOVERY_DEFER_MAX (400 * PIMENTO_MSEC)
-/* Part of a limit that a host gives out that is not the owner, but was asked. */
+/*
+ * Fraction of a limit that a host admits if it is asked but is not the owner.
+ */
 #define NON_OWNER_LIMIT_RATIO 0.5
-/* Hosts that died this lately may live on behind a cut. */
+/* Hosts lost within this time may be alive across a network partition. */
 #define LOST_HOST_WINDOW (20 * PIMENTO_SEC)
-/* With this part of the hosts in reach the others' part is in the tolerance. */
+/*
+ * With this fraction of the hosts in reach the whole limit is admitted: the
+ * share of the others is within the operator's tolerance.
+ */
 #define FULL_LIMIT_HOSTS_RATIO 0.8
 
 void quota_fleet_init(quota_fleet_t *fleet, const quota_fleet_setup_t *setup)
@@ -63,7 +69,7 @@
 			fleet->unresponsive[i].until = 0;
 }
 
-/* Part of a limit that this side of a cut may give out. */
+/* Fraction of a limit that this side of a network partition may admit. */
 static double partition_limit_ratio(const quota_fleet_t *fleet,
 				    pimento_usec_t now)
 {
@@ -113,7 +119,7 @@
 	return decide(&fleet->fallback, request, now);
 }
 
-/* Ends an ask; the callee may ask anew. */
+/* Ends a pending request; decided() may add new ones. */
 static void finish_request(quota_fleet_t *fleet, uint32_t index,
 			   const quota_decision_t *decision)
 {
@@ -123,7 +129,7 @@
 	fleet->ops->decided(fleet->context, ticket, decision);
 }
 
-/* The host to ask next: the owner, its successor; 0: neither answers. */
+/* Host to ask next: the owner or its successor; 0 if neither answers. */
 static uint32_t next_host(const quota_fleet_t *fleet,
 			  const quota_pending_t *pending, pimento_usec_t now)
 {
@@ -147,7 +153,10 @@
 	       peers_is_discovering(fleet->peers, now);
 }
 
-/* Returns true if the ask is over: the table of those pending has changed. */
+/*
+ * Sends a pending request to the next host or decides it here. Returns true if
+ * it was decided, which changes the table of pending requests.
+ */
 static bool forward_or_decide(quota_fleet_t *fleet, uint32_t index,
 			      pimento_usec_t now)
 {
@@ -273,7 +282,7 @@
 			finish_request(fleet, i, &decision);
 			return;
 		}
-	/* cancelled, or another host was asked and answered first */
+	/* the request was cancelled, or another host answered it first */
 	if (reply->admitted)
 		quota_fleet_refund(fleet, reply->address, reply->account,
 				   reply->tokens);
@@ -297,7 +306,10 @@
 	}
 }
 
-/* Deals with one ask that is due; returns true if there may be more. */
+/*
+ * Handles pending requests that are deferred or timed out, up to the first that
+ * is decided. Returns true if there may be more.
+ */
 static bool process_one_due(quota_fleet_t *fleet, pimento_usec_t now)
 {
 	for (uint32_t i = 0; i < fleet->pending_count; i++) {
--- a/src/quota_share.c
+++ b/src/quota_share.c
@@ -3,17 +3,17 @@
 #include <math.h>
 
 /*
- * Demand is looked at over some seconds: a host of many sees a few requests of
- * an account a second, of very different sizes, and its share would jump with
- * each of them.
+ * Demand is averaged over some seconds: one host of many gets only a few
+ * requests of an account per second, of very different sizes, and the shares of
+ * the tiers would jump with each of them.
  */
 #define DEMAND_DECAY_SECONDS 3.0
 
-/* Credit that may be saved, in seconds of its flow. */
+/* Credit that may accumulate, in seconds of its rate. */
 #define CREDIT_MAX_SECONDS 0.5
-/* Of more urgent requests' demand, which less urgent ones leave. */
+/* Seconds of more urgent tiers' demand that less urgent requests leave. */
 #define RESERVE_SECONDS 1.0
-/* Weight of a new request in their mean size. */
+/* Weight of a new request in the mean size of requests. */
 #define MEAN_TOKENS_WEIGHT 0.05
 
 static double seconds(pimento_usec_t span)
@@ -27,7 +27,7 @@
 		   DEMAND_DECAY_SECONDS);
 }
 
-/* Asked for lately by requests of the first tiers. */
+/* Tokens per second requested lately by the most urgent tiers. */
 static double first_tiers_demand(const quota_share_t *share, uint32_t tiers,
 				 pimento_usec_t now)
 {
@@ -97,5 +97,5 @@
 
 void quota_share_refund(quota_share_t *share, double tokens)
 {
-	share->credit += tokens; /* what is too much goes when it is filled */
+	share->credit += tokens; /* the next refill clamps it to credit_max */
 }
--- a/src/retry_budget.c
+++ b/src/retry_budget.c
@@ -1,13 +1,14 @@
 /*
- * Each host keeps to its own requests' share and an even part of the slack, so
- * that the sum holds through partitions and mass restarts without a word
- * between hosts. A host that restarts forgets what it has spent; keeping a part
- * of the slack back covers hosts that restart within one window.
+ * Each host retries at most the ratio of its own requests plus an even share of
+ * the slack, so that the sum stays within the bound through network partitions
+ * and mass restarts without communication between hosts. A restarted host has
+ * lost its counts; the part of the slack that is not used covers hosts that
+ * restart within one window.
  */
 
 #include "retry_budget.h"
 
-/* Parts used of the ratio and of the even share of the slack. */
+/* Fractions used of the ratio and of a host's even share of the slack. */
 #define RATIO_SAFETY_FACTOR 0.85
 #define SLACK_SAFETY_FACTOR 0.6
 
--- a/src/retry_budget.h
+++ b/src/retry_budget.h
@@ -2,9 +2,9 @@
 #define RETRY_BUDGET_H
 
 /*
- * How many requests this host may send to a second endpoint. The operator
- * bounds the sum over all hosts in a sliding window: a share of the requests
- * of a service, and a fixed number beside it.
+ * Limits the retries, that is the requests that this host sends to another
+ * endpoint after a failure. The operator bounds the sum over all hosts in a
+ * sliding window to a ratio of the service's requests plus a fixed number.
  */
 
 #include "../pimentoshelf.h"
@@ -13,8 +13,8 @@
 
 typedef struct retry_budget_limits {
 	pimento_usec_t window;
-	double ratio; /* retries for each request */
-	double slack; /* retries of all hosts together, beside the share */
+	double ratio; /* retries per request */
+	double slack; /* retries of all hosts together, on top of the ratio */
 } retry_budget_limits_t;
 
 typedef struct retry_budget {
@@ -27,7 +27,10 @@
 			      const retry_budget_limits_t *limits,
 			      pimento_usec_t now);
 
-/* Takes one repeat if the budget has it; hosts is how many share the slack. */
+/*
+ * Takes one retry from the budget; returns false if none is left. hosts is the
+ * number of hosts that share the slack.
+ */
 bool retry_budget_take(retry_budget_t *budget,
 		       const retry_budget_limits_t *limits, uint32_t hosts,
 		       pimento_usec_t now);
--- a/src/wait_queue.c
+++ b/src/wait_queue.c
@@ -1,23 +1,24 @@
 /*
- * In an overload the queue would grow without end, and in a queue that is
- * served in order everybody would be answered just too late. So a request
- * that cannot be on time any more goes behind all that can, and leaves the
- * queue with a true "not run" while its caller still has time to come back.
+ * In an overload the queue would grow without bound, and in order of arrival
+ * every request would be answered just too late. So a request that can no
+ * longer meet its objective goes behind all that can, and is rejected with a
+ * true "not run" while its caller still has time for a retry.
  */
 
 #include "wait_queue.h"
 
 /*
- * A late request may wait this part of the time that its caller had left when
- * it came: long enough to outlast a burst of a few seconds, short enough to
- * leave the caller most of the time for another attempt.
+ * An overdue request may wait for this fraction of the time that its caller had
+ * left on arrival: long enough to outlast a burst of a few seconds, short
+ * enough to leave the caller most of the time for another attempt.
  */
 #define OVERDUE_WAIT_RATIO 0.2
 
 /*
- * Callers leave a stream that is silent for the longest of these, before its
- * first event too; a request that waits longer is held in vain. The part keeps
- * clear of that bound.
+ * Callers close a stream that is idle, also before its first event, for longer
+ * than the greatest of a fixed time, a multiple of the latency objective and a
+ * multiple of the gap objective; to hold a request longer is useless. The ratio
+ * is a safety margin to that bound.
  */
 #define IDLE_TIMEOUT_MIN (2 * PIMENTO_SEC)
 #define IDLE_TIMEOUT_OBJECTIVES 4
@@ -25,18 +26,20 @@
 #define IDLE_TIMEOUT_RATIO 0.8
 
 /*
- * Among equals goes first who would be done first, had it gone when it came,
- * with this part of its expected stay: one long answer holds a slot for as
- * long as twenty short ones. Its turn comes as it waits.
+ * Weight of the time that a request is expected to hold its slot. Among equally
+ * urgent requests the one goes first that would have finished first had it
+ * started on its first attempt: one long answer holds a slot for as long as
+ * twenty short ones. A long one does not starve, as later requests order behind
+ * it.
  */
 #define SLOT_TIME_WEIGHT 1.0
 
-/* Bounds and spread of the time that a caller is told to stay away. */
+/* Bounds of the retry time of rejected callers, before it is spread. */
 #define RETRY_AFTER_MIN (200 * PIMENTO_MSEC)
 #define RETRY_AFTER_MAX (5 * PIMENTO_SEC)
 /*
- * Those turned away before return too: the queue here is a part of what is
- * ahead.
+ * Callers that were rejected before return too, so that the queue is only a
+ * part of the load that is ahead of a retry.
  */
 #define RETRY_AFTER_BACKLOG_FACTOR 2.5
 
@@ -103,7 +106,7 @@
 	return NULL;
 }
 
-/* How long a caller stays with a stream that shows nothing. */
+/* Time for which a caller keeps an idle stream open, less a safety margin. */
 static pimento_usec_t stream_idle_timeout(const wait_queue_timing_t *timing)
 {
 	pimento_usec_t span = IDLE_TIMEOUT_MIN;
--- a/src/wait_queue.h
+++ b/src/wait_queue.h
@@ -2,12 +2,12 @@
 #define WAIT_QUEUE_H
 
 /*
- * Requests that wait at this host for a free place at an endpoint of one
- * service, and the decision which of them goes next, which is late, and which
- * is turned away. The order is: what can still be on time before what cannot,
- * then the more urgent, then the one whose caller has waited longest, earlier
- * attempts included, for what it wants: who will hold a place for long waits
- * longer.
+ * Queue of the requests that wait at this host for a free slot at an endpoint
+ * of one service. Decides which request goes next, which one is overdue (can no
+ * longer meet its latency objective) and which one is rejected. Requests that
+ * are not overdue go first, then the more urgent ones, then those whose callers
+ * have waited longest, earlier attempts included; a request that is expected to
+ * hold its slot for long waits longer.
  */
 
 #include "../pimentoshelf.h"
@@ -15,11 +15,14 @@
 typedef struct wait_queue_item {
 	struct wait_queue_item *next;
 	struct wait_queue_item *prev;
-	uint64_t rank; /* urgency: less is more urgent */
-	pimento_usec_t first_attempt_at; /* its caller's first attempt */
-	pimento_usec_t order_key; /* among equals the least goes first */
-	pimento_usec_t overdue_at; /* past that it cannot be on time any more */
-	pimento_usec_t expires_at; /* past that it is turned away */
+	uint64_t rank; /* urgency: a lower value is more urgent */
+	/* time of the caller's first attempt */
+	pimento_usec_t first_attempt_at;
+	/* among equally urgent requests the lowest key goes first */
+	pimento_usec_t order_key;
+	/* time from which the request cannot meet its objective */
+	pimento_usec_t overdue_at;
+	pimento_usec_t expires_at; /* time from which the request is rejected */
 	bool overdue;
 } wait_queue_item_t;
 
@@ -33,22 +36,29 @@
 void wait_queue_remove(wait_queue_t *queue, wait_queue_item_t *item);
 
 /*
- * Marks items as late and moves them behind. Returns one that is to be turned
- * away, NULL if there is none; call until it returns NULL.
+ * Marks items that have become overdue and moves them behind those that are
+ * not. Returns an item that has expired and is to be removed and rejected, NULL
+ * if there is none; call until it returns NULL.
  */
 wait_queue_item_t *wait_queue_next_expired(wait_queue_t *queue,
 					   pimento_usec_t now);
 
-/* What a request may spend, to set the two times of its item. */
+/* Time limits of a request, from which its item's times are set. */
 typedef struct wait_queue_timing {
 	pimento_usec_t arrived;
-	pimento_usec_t
-		spent_before; /* by the caller before, in earlier attempts */
-	pimento_usec_t objective; /* from the first attempt to the answer */
-	pimento_usec_t expected_latency; /* from a free place to the answer */
-	pimento_usec_t
-		expected_slot_time; /* from a free place to the end of the answer */
-	pimento_usec_t gap_objective; /* of a stream; 0: no stream */
+	/* time that the caller has spent on earlier attempts */
+	pimento_usec_t spent_before;
+	/*
+	 * objective for the time from the first attempt to the start of the
+	 * answer
+	 */
+	pimento_usec_t objective;
+	/* expected time from a free slot to the start of the answer */
+	pimento_usec_t expected_latency;
+	/* expected time from a free slot to the end of the answer */
+	pimento_usec_t expected_slot_time;
+	/* longest acceptable gap of a stream; 0: the answer is no stream */
+	pimento_usec_t gap_objective;
 	pimento_usec_t deadline; /* caller's deadline or route's timeout */
 } wait_queue_timing_t;
 
@@ -56,19 +66,20 @@
 			  const wait_queue_timing_t *timing);
 
 /*
- * The same for a request that ran already and lost its endpoint. Its caller
- * cannot be told "not run", and may have a part of the answer, whose making would
- * be lost. So it goes before its equals, never counts as late, and waits until
- * its caller, who heard of it last at last_sent_at, leaves the silent stream.
+ * Sets the times of a request that was already running when its endpoint
+ * failed. Its caller cannot be answered "not run", and may have received a part
+ * of the answer, which would be wasted. So the request goes before others of
+ * its urgency, never becomes overdue, and waits until its caller, to whom data
+ * was last sent at last_sent_at, closes the idle stream.
  */
 void wait_queue_set_resumed(wait_queue_item_t *item,
 			    const wait_queue_timing_t *timing,
 			    pimento_usec_t last_sent_at);
 
 /*
- * How long a caller that is turned away should stay away. backlog is the number
- * that wait here, per_second how many the service answers for this host, random_bits a
- * random number that spreads the callers.
+ * Time after which the caller of a rejected request should retry. backlog is
+ * the number of requests in this queue, per_second the number that the service
+ * answers for this host; random_bits spreads the callers' retries.
  */
 pimento_usec_t wait_queue_retry_after(uint32_t backlog, double per_second,
 				      uint64_t random_bits);
--- a/test/quota_sim.c
+++ b/test/quota_sim.c
@@ -7,7 +7,7 @@
 #define STEP (QUOTA_SIM_STEP_MS * PIMENTO_MSEC)
 #define TICK_STEPS 5
 
-/* The context of a host's ops. */
+/* The running simulation; the ops only get the host as their context. */
 static quota_sim_t *current_sim;
 
 static uint32_t host_index(const void *context)
--- a/test/quota_sim.h
+++ b/test/quota_sim.h
@@ -2,9 +2,9 @@
 #define QUOTA_SIM_H
 
 /*
- * An account's quota over many hosts in virtual time: real rosters, real
- * owners, requests that come in at all hosts. Hosts are killed, frozen and cut
- * from each other.
+ * Simulates the quota of one account over many hosts in virtual time, with the
+ * real peer lists and quota owners, and requests that arrive at all hosts.
+ * Hosts can be killed, frozen and partitioned from each other.
  */
 
 #include "quota_fleet.h"
@@ -17,7 +17,8 @@
 
 typedef struct quota_sim_host {
 	quota_fleet_t fleet;
-	uint32_t unsent_requests[QUOTA_SIM_TIERS]; /* asked while it was down */
+	/* requests that arrived while it was down or frozen, by tier */
+	uint32_t unsent_requests[QUOTA_SIM_TIERS];
 } quota_sim_host_t;
 
 typedef struct quota_sim {
@@ -26,16 +27,22 @@
 	pimento_id_t account;
 	quota_limit_t limit;
 	uint64_t version;
-	double tokens; /* of each request */
+	double tokens; /* size of each request */
 	pimento_usec_t window;
 	uint32_t step;
-	uint32_t next_host; /* of the hosts that callers reach */
-	double unsent_tokens
-		[QUOTA_SIM_TIERS]; /* tokens still to be asked for */
-	uint64_t ticket; /* a multiple of the tiers, and then the tier */
-	double admitted[QUOTA_SIM_STEPS_MAX]; /* tokens */
-	double requested_tokens
-		[QUOTA_SIM_TIERS]; /* tokens, counted while counting */
+	/* position of the host that gets the next request */
+	uint32_t next_host;
+	/* load that does not yet fill a request, by tier */
+	double unsent_tokens[QUOTA_SIM_TIERS];
+	/*
+	 * last ticket: a multiple of QUOTA_SIM_TIERS, to which the tier is
+	 * added
+	 */
+	uint64_t ticket;
+	double admitted[QUOTA_SIM_STEPS_MAX]; /* tokens admitted in each step */
+	/* tokens requested, by tier; counted while counting is set */
+	double requested_tokens[QUOTA_SIM_TIERS];
+	/* tokens admitted, by tier; counted while counting is set */
 	double admitted_tokens[QUOTA_SIM_TIERS];
 	bool counting;
 } quota_sim_t;
@@ -44,19 +51,22 @@
 void quota_sim_finish(quota_sim_t *sim);
 
 void quota_sim_kill(quota_sim_t *sim, uint32_t host);
-/* is_first_start: of the whole system. */
+/* is_first_start: the whole system starts for the first time. */
 void quota_sim_start(quota_sim_t *sim, uint32_t host, bool is_first_start);
 
-/* One step in which callers ask for so many rate_multiple the rate, by tier. */
+/*
+ * Runs one step with a load of rate_multiple times the account's rate in each
+ * tier.
+ */
 void quota_sim_step(quota_sim_t *sim,
 		    const double rate_multiple[QUOTA_SIM_TIERS]);
 
-/* Most tokens admitted in any window of the steps so far. */
+/* Largest number of tokens admitted in any window so far. */
 double quota_sim_window_max(const quota_sim_t *sim);
-/* Tokens admitted from one second of the run to another. */
+/* Tokens admitted between two times, in seconds of the run. */
 double quota_sim_admitted(const quota_sim_t *sim, uint32_t from_s,
 			  uint32_t to_s);
-/* The host that owns the account, as a host that runs sees it. */
+/* Index of the account's owner, in the view of a running host. */
 uint32_t quota_sim_owner(const quota_sim_t *sim);
 
 #endif
--- a/test/test_client_timeout.c
+++ b/test/test_client_timeout.c
@@ -1,4 +1,7 @@
-/* What a caller has spent before, judged by the time that it brings. */
+/*
+ * Estimate of the time that a caller has spent on earlier attempts, from the
+ * time left that its request states.
+ */
 
 #include "client_timeout.h"
 
@@ -8,24 +11,29 @@
 #define MS PIMENTO_MSEC
 
 /*
- * Callers of one route start with times that differ by a sixth. If the whole
- * difference from the longest counted as time spent, most requests would be
- * served as late ones although they have not waited at all.
+ * Guards against different time-outs that count as time spent. The time-outs of
+ * a route's callers differ by a sixth; if the whole difference from the longest
+ * counted, most requests would be served as overdue although they have not
+ * waited at all.
  */
 static const struct {
 	const char *what;
 	uint32_t count;
-	int64_t time_left_ms[4]; /* milliseconds, one request after the other */
-	int64_t elapsed; /* of the last one */
+	/* milliseconds, as stated by successive requests */
+	int64_t time_left_ms[4];
+	int64_t elapsed; /* milliseconds, estimated for the last request */
 } cases[] = {
-	{ "the first request of a route", 1, { 12000 }, 0 },
-	{ "a sixth less than another", 2, { 12000, 10000 }, 0 },
-	{ "a sixth less, many times", 4, { 12000, 10000, 11000, 10100 }, 0 },
-	{ "half is gone", 3, { 12000, 11000, 6000 }, 3600 },
-	{ "nearly all is gone", 2, { 12000, 600 }, 9000 },
-	{ "it states none", 2, { 12000, 0 }, 0 },
-	{ "the more patient came later", 3, { 3000, 12000, 3000 }, 6600 },
-	{ "more patient than all before", 2, { 3000, 12000 }, 0 },
+	{ "first request of a route", 1, { 12000 }, 0 },
+	{ "a sixth less than another caller", 2, { 12000, 10000 }, 0 },
+	{ "up to a sixth less, several callers",
+	  4,
+	  { 12000, 10000, 11000, 10100 },
+	  0 },
+	{ "half of the time is spent", 3, { 12000, 11000, 6000 }, 3600 },
+	{ "nearly all of the time is spent", 2, { 12000, 600 }, 9000 },
+	{ "request states no time left", 2, { 12000, 0 }, 0 },
+	{ "longer time-out seen in between", 3, { 3000, 12000, 3000 }, 6600 },
+	{ "longer time-out than all before", 2, { 3000, 12000 }, 0 },
 };
 
 START_TEST(small_timeout_differences_are_not_time_spent)
@@ -36,14 +44,15 @@
 	for (uint32_t i = 0; i < cases[_i].count; i++)
 		elapsed = client_timeout_elapsed(
 			&client_timeout, cases[_i].time_left_ms[i] * MS);
-	ck_assert_msg(elapsed / MS == cases[_i].elapsed, "%s: %lld",
-		      cases[_i].what, (long long)(elapsed / MS));
+	ck_assert_msg(elapsed / MS == cases[_i].elapsed,
+		      "%s: estimated %lld ms", cases[_i].what,
+		      (long long)(elapsed / MS));
 }
 END_TEST
 
 int main(void)
 {
-	Suite *suite = suite_create("patience");
+	Suite *suite = suite_create("client_timeout");
 	TCase *tests = tcase_create("all");
 	SRunner *runner;
 	int failed;
--- a/test/test_placement.c
+++ b/test/test_placement.c
@@ -1,4 +1,4 @@
-/* Which endpoint a request goes to, and when there is none for it. */
+/* Selection of an endpoint for a request. */
 
 #include "placement.h"
 
@@ -13,7 +13,7 @@
 static registry_endpoint_t *endpoints[ENDPOINTS];
 static latency_service_t *service;
 
-/* The last endpoint takes three times as long for everything. */
+/* Trains the models so that the last endpoint is three times slower in all. */
 static void train_latency_models(void)
 {
 	for (int i = 0; i < 400; i++) {
@@ -94,7 +94,10 @@
 }
 END_TEST
 
-/* Guards against a new connection for each request of a host with few. */
+/*
+ * Guards against a new connection for each request of a host that sends few
+ * requests.
+ */
 START_TEST(endpoints_with_idle_connections_are_preferred)
 {
 	placement_request_t request = stream(1000, 60);
@@ -112,7 +115,7 @@
 }
 END_TEST
 
-/* Guards against slow answers for the sake of a connection. */
+/* Guards against a slow endpoint chosen only to reuse a connection. */
 START_TEST(idle_connection_does_not_outweigh_slow_endpoint)
 {
 	placement_request_t request = stream(1000, 60);
@@ -128,9 +131,9 @@
 END_TEST
 
 /*
- * An answer of hundreds of events on the slowest hardware runs for longer than
- * its caller stays. It holds a place for all that time and is cut at the last
- * moment; the caller sees a long answer that never ends.
+ * Guards against a long answer placed where it cannot complete in time. An
+ * answer of hundreds of events on the slowest hardware takes longer than its
+ * caller's time-out: it holds a slot for all that time and is then cut off.
  */
 START_TEST(long_answer_waits_for_endpoint_within_deadline)
 {
@@ -147,28 +150,30 @@
 END_TEST
 
 /*
- * One engine of four is three times slower, and the fast ones are full for a
- * moment. Long answers that take the slow one's places hold each for seconds;
- * short answers, which would be on time there, find none and are turned away.
- * When the fast ones are gone, the slow one is better than nothing.
+ * Guards against long answers that occupy a slow engine. One engine of four is
+ * three times slower, and the fast ones are full for a moment. A long answer
+ * holds a slot of the slow engine for seconds; short answers, which would meet
+ * their objective there, find none and are rejected. If the fast engines leave,
+ * the slow one is used for all.
  */
 static const struct {
 	const char *what;
-	uint32_t answer; /* tokens; six make an event */
+	uint32_t answer; /* tokens; there are six per event */
 	pimento_usec_t objective;
 	bool overdue;
 	bool fast_endpoints_leaving;
 	placement_result_t result;
 } slow_endpoint_cases[] = {
-	{ "a long answer waits", 240, 600 * PIMENTO_MSEC, false, false,
-	  PLACEMENT_FULL },
-	{ "a short one goes", 24, 600 * PIMENTO_MSEC, false, false,
-	  PLACEMENT_FOUND },
-	{ "a late one goes", 240, 600 * PIMENTO_MSEC, true, false,
-	  PLACEMENT_FOUND },
-	{ "one without a goal goes", 240, 0, false, false, PLACEMENT_FOUND },
-	{ "no other is left", 240, 600 * PIMENTO_MSEC, false, true,
-	  PLACEMENT_FOUND },
+	{ "long answer waits for another endpoint", 240, 600 * PIMENTO_MSEC,
+	  false, false, PLACEMENT_FULL },
+	{ "short answer uses the slow endpoint", 24, 600 * PIMENTO_MSEC, false,
+	  false, PLACEMENT_FOUND },
+	{ "overdue request uses the slow endpoint", 240, 600 * PIMENTO_MSEC,
+	  true, false, PLACEMENT_FOUND },
+	{ "request without an objective uses the slow endpoint", 240, 0, false,
+	  false, PLACEMENT_FOUND },
+	{ "all fast endpoints are leaving", 240, 600 * PIMENTO_MSEC, false,
+	  true, PLACEMENT_FOUND },
 };
 
 START_TEST(long_answers_do_not_occupy_slow_slots)
@@ -193,10 +198,10 @@
 END_TEST
 
 /*
- * In a burst the fast engines are full for a moment, and a slow one has room.
- * A request that goes there although its answer will begin too late is late
- * for sure, while a place that falls free elsewhere a little later would have
- * been in time; its caller sees a slow answer that need not have been one.
+ * Guards against requests that are sent to an endpoint at which they are
+ * certain to miss their objective. In a burst the fast engines are full for a
+ * moment and a slow one has free slots; a slot that falls free at a fast one a
+ * little later would still be in time.
  */
 static const struct {
 	const char *what;
@@ -205,13 +210,15 @@
 	bool fast_endpoints_leaving;
 	placement_result_t result;
 } first_event_cases[] = {
-	{ "it waits for a fast one", 150 * PIMENTO_MSEC, false, false,
+	{ "request waits for a fast endpoint", 150 * PIMENTO_MSEC, false, false,
 	  PLACEMENT_FULL },
-	{ "the slow one is fast enough", 400 * PIMENTO_MSEC, false, false,
+	{ "slow endpoint meets the objective", 400 * PIMENTO_MSEC, false, false,
 	  PLACEMENT_FOUND },
-	{ "a late one goes", 150 * PIMENTO_MSEC, true, false, PLACEMENT_FOUND },
-	{ "one without a goal goes", 0, false, false, PLACEMENT_FOUND },
-	{ "no other is left", 150 * PIMENTO_MSEC, false, true,
+	{ "overdue request uses the slow endpoint", 150 * PIMENTO_MSEC, true,
+	  false, PLACEMENT_FOUND },
+	{ "request without an objective uses the slow endpoint", 0, false,
+	  false, PLACEMENT_FOUND },
+	{ "all fast endpoints are leaving", 150 * PIMENTO_MSEC, false, true,
 	  PLACEMENT_FOUND },
 };
 
@@ -236,11 +243,10 @@
 END_TEST
 
 /*
- * A host asks for a place at an engine of which it knows nothing, and its
- * owner gives one together with the word that the engine is slow. A long
- * answer that took the place all the same would be cut at its caller's
- * deadline after ten seconds, though fast engines would have had room some
- * milliseconds later.
+ * Guards against the use of a slot whose grant reports a slow engine. The host
+ * knows nothing of the engine when it requests the slot. A long answer there
+ * would be cut off at its caller's deadline after ten seconds, although fast
+ * engines would have a free slot some milliseconds later.
  */
 START_TEST(grant_is_declined_if_owner_reports_slow_endpoint)
 {
@@ -257,7 +263,7 @@
 	request.answer_tokens = 24;
 	ck_assert(placement_accepts_grant(&registry, &request, slow,
 					  PIMENTO_SEC));
-	/* where all are slow it is as good as the others */
+	/* if all endpoints are slow, the granted slot is as good as any */
 	request.answer_tokens = 600;
 	for (int i = 0; i < ENDPOINTS; i++)
 		registry_apply_report(endpoints[i], &report, PIMENTO_SEC);
@@ -267,9 +273,9 @@
 END_TEST
 
 /*
- * An engine had long pauses for a few seconds. If nothing went there any more,
- * nobody would see that it has recovered, and its places would stand empty
- * while callers are turned away.
+ * Guards against an engine that is never used again after a few seconds with
+ * long gaps between events: without requests no host would see that it has
+ * recovered, and its slots would stay idle while callers are rejected.
  */
 START_TEST(overdue_requests_probe_endpoints_with_long_gaps)
 {
@@ -287,8 +293,8 @@
 END_TEST
 
 /*
- * A request that waits stands in the lines of several engines; it must not
- * ask the same one twice.
+ * A waiting request is queued at several engines. Guards against a request that
+ * is queued twice at the same one.
  */
 START_TEST(request_queues_once_per_endpoint)
 {
@@ -311,9 +317,10 @@
 END_TEST
 
 /*
- * The owner of the best engine is frozen and does not answer. A request that
- * still chose that engine to wait at would wait nowhere, and its caller be
- * turned away although the other engines go on giving places.
+ * Guards against waiting at an owner that does not answer. The owner of the
+ * best engine is frozen; a request that chose this engine would be in no queue,
+ * and its caller would be rejected although the other engines still grant
+ * slots.
  */
 START_TEST(request_does_not_queue_at_unresponsive_owner)
 {
@@ -329,7 +336,7 @@
 	ck_assert_ptr_eq(endpoint, endpoints[ENDPOINTS - 1]);
 	endpoints[ENDPOINTS - 1]->owner_unresponsive_until = 2 * PIMENTO_SEC;
 	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FULL);
-	/* a place that is free is taken without the owner's leave */
+	/* a free slot is used without a grant of the owner */
 	request.may_queue = false;
 	endpoints[0]->running = 0;
 	ck_assert_int_eq(choose(&request, &endpoint), PLACEMENT_FOUND);
@@ -338,48 +345,49 @@
 END_TEST
 
 /*
- * An engine that goes down and up accepts connections and breaks them; a
- * faulty one fails all that it gets. It is free again at once and would be
- * given one request after the other. Hosts tell its owner what they found:
- * four such in a row, and it is left alone.
+ * Guards against an endpoint that attracts requests because it fails them fast.
+ * An engine that restarts again and again accepts connections and closes them,
+ * a faulty one fails every request; each is free again at once and would get
+ * one request after the other. Hosts report outcomes to the owner, and four
+ * errors in a row eject the endpoint.
  */
 static const struct {
 	const char *what;
 	latency_outcome_t outcomes[6];
 	bool ejected;
 } outcomes[] = {
-	{ "four breaks in a row",
+	{ "four reset connections in a row",
 	  { LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET,
 	    LATENCY_OUTCOME_RESET },
 	  true },
-	{ "three are chance",
+	{ "three in a row may be chance",
 	  { LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET,
 	    LATENCY_OUTCOME_RESET },
 	  false },
-	{ "an answer between them",
+	{ "an answer in between",
 	  { LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET,
 	    LATENCY_OUTCOME_ANSWERED, LATENCY_OUTCOME_RESET,
 	    LATENCY_OUTCOME_RESET },
 	  false },
-	{ "callers that left say nothing",
+	{ "requests that callers cancelled do not count",
 	  { LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_NONE,
 	    LATENCY_OUTCOME_RESET, LATENCY_OUTCOME_RESET },
 	  true },
-	{ "four failures in a row",
+	{ "four failed answers in a row",
 	  { LATENCY_OUTCOME_FAILED, LATENCY_OUTCOME_FAILED,
 	    LATENCY_OUTCOME_FAILED, LATENCY_OUTCOME_FAILED },
 	  true },
-	{ "failures and breaks",
+	{ "failed answers and reset connections",
 	  { LATENCY_OUTCOME_FAILED, LATENCY_OUTCOME_RESET,
 	    LATENCY_OUTCOME_FAILED, LATENCY_OUTCOME_RESET },
 	  true },
-	{ "half of its answers fail",
+	{ "half of the answers fail",
 	  { LATENCY_OUTCOME_FAILED, LATENCY_OUTCOME_ANSWERED,
 	    LATENCY_OUTCOME_FAILED, LATENCY_OUTCOME_FAILED,
 	    LATENCY_OUTCOME_ANSWERED, LATENCY_OUTCOME_FAILED },
 	  false },
-	{ "nobody there", { LATENCY_OUTCOME_UNREACHABLE }, true },
-	{ "full, for a moment", { LATENCY_OUTCOME_FULL }, true },
+	{ "endpoint is unreachable", { LATENCY_OUTCOME_UNREACHABLE }, true },
+	{ "endpoint is full", { LATENCY_OUTCOME_FULL }, true },
 };
 
 START_TEST(consecutive_errors_eject_endpoint)
@@ -405,15 +413,15 @@
 END_TEST
 
 /*
- * Some callers expect answers that no engine can make in their time. Most of
- * these guesses are too long, and the answers are whole at a fast engine. A
- * slow one, which looks best as it is empty, works on them until their
- * callers leave, and each caller sees an answer that breaks off after ten
- * seconds.
+ * Guards against overlong length estimates that send requests to a slow engine.
+ * Some callers expect answers that no engine can complete within their
+ * time-out. Most of these estimates are too long, and a fast engine completes
+ * the answers. On a slow one, which looks best as it is empty, they are cut off
+ * after ten seconds, at the callers' time-out.
  */
 START_TEST(overlong_length_hint_waits_for_fast_endpoint)
 {
-	/* 600 events: 12 s at a fast endpoint, 36 s at the slow one */
+	/* 600 events take 12 s at a fast endpoint, 36 s at the slow one */
 	placement_request_t request = stream(1000, 60 * 60);
 	registry_endpoint_t *endpoint;
 
@@ -429,9 +437,10 @@
 END_TEST
 
 /*
- * Callers who expect ten times the usual get half of that, and of those who
- * expect little some get much. Taken at their word, long answers would find no
- * engine fast enough.
+ * Guards against callers' length estimates that are used uncorrected. Answers
+ * of which ten times the usual length is expected are half as long, and some
+ * that are expected to be short are long. Without the correction no engine
+ * would seem fast enough for long answers.
  */
 START_TEST(length_hints_are_corrected_by_observed_lengths)
 {
@@ -449,10 +458,10 @@
 END_TEST
 
 /*
- * An endpoint has crashed, and its port resets every connection at once. When
- * all others are full it looks like the only one with free places: each
- * waiting request would try it, many times a second, and none would wait for a
- * place that does become free.
+ * Guards against requests that leave full endpoints for a crashed one, whose
+ * port resets every connection at once. It looks like the only endpoint with
+ * free slots: each waiting request would try it many times a second, and none
+ * would wait for a slot that does become free.
  */
 START_TEST(ejected_endpoint_gets_no_overflow_from_full_ones)
 {
@@ -481,9 +490,9 @@
 END_TEST
 
 /*
- * Peers have filled an endpoint. A host that counts only its own requests
- * would send more, which the engine admits in order of arrival, behind
- * everything else: the caller waits and nothing more urgent can overtake.
+ * Guards against overload of an endpoint that other hosts have filled. A host
+ * that counted only its own requests would send more, which the engine admits
+ * in order of arrival: the caller waits, and nothing more urgent can overtake.
  */
 START_TEST(requests_in_flight_from_peers_count_as_load)
 {
@@ -509,9 +518,10 @@
 END_TEST
 
 /*
- * After a burst only late requests wait. If they were let have a part of the
- * places only, the others would stand empty while callers are turned away;
- * what can be on time overtakes them in line.
+ * Guards against idle slots while overdue requests wait. After a burst all
+ * waiting requests are overdue; if they could use only some of the slots, the
+ * others would be idle while callers are rejected. Requests that can still meet
+ * their objective overtake them in the queue.
  */
 START_TEST(overdue_requests_may_use_every_slot)
 {
--- a/test/test_quota.c
+++ b/test/test_quota.c
@@ -1,5 +1,5 @@
 /*
- * An account's bucket at the host that keeps it. test_quota_fleet tells of
+ * Bucket of an account at the host that owns it. test_quota_fleet covers
  * several hosts.
  */
 
@@ -17,7 +17,7 @@
 static const quota_limit_t limit = { .tokens_per_second = 200000,
 				     .burst = 200000 };
 
-/* Tokens that are admitted at once, in small requests. */
+/* Tokens admitted at one time in small requests, until one is refused. */
 static double admit_all(quota_t *quota, pimento_usec_t now)
 {
 	const double tokens = 1000;
@@ -31,22 +31,24 @@
 static const struct {
 	const char *name;
 	bool first_start;
-	double reported_level; /* level reported before; 0 none */
-	double reported_s_ago;
-	double up_s; /* how long the host is up and hears reports */
-	double admitted_min; /* admitted at once */
+	double reported_level; /* tokens in an earlier report; 0 no report */
+	double reported_s_ago; /* age of the report in seconds */
+	double up_s; /* seconds since the host's first report of any account */
+	double admitted_min; /* tokens admitted at one time */
 	double admitted_max;
 } takeovers[] = {
-	{ "the first start", true, 0, 0, 0, 160000, 260000 },
-	{ "nothing is known", false, 0, 0, 0, 20000, 200000 },
-	{ "a full bucket is taken over", false, 250000, 0.2, 1, 0, 60000 },
-	{ "it has drained since", false, 250000, 1, 1, 160000, 260000 },
-	{ "nobody reported it for a window", false, 0, 0, 9, 160000, 260000 },
+	{ "first start of the system", true, 0, 0, 0, 160000, 260000 },
+	{ "no level is known", false, 0, 0, 0, 20000, 200000 },
+	{ "full bucket taken over", false, 250000, 0.2, 1, 0, 60000 },
+	{ "bucket has drained since the report", false, 250000, 1, 1, 160000,
+	  260000 },
+	{ "no report of the account for a window", false, 0, 0, 9, 160000,
+	  260000 },
 };
 
 /*
- * Guards against a new owner that gives a limit out again, and against one
- * that refuses an account nobody used.
+ * Guards against a new owner that admits a limit a second time, and against one
+ * that refuses requests of an account that was not used.
  */
 START_TEST(new_owner_continues_from_reported_level)
 {
@@ -67,12 +69,12 @@
 	admitted = admit_all(&quota, NOW);
 	ck_assert_msg(admitted >= takeovers[_i].admitted_min &&
 			      admitted <= takeovers[_i].admitted_max,
-		      "%s: %.0f", takeovers[_i].name, admitted);
+		      "%s: admitted %.0f tokens", takeovers[_i].name, admitted);
 	quota_finish(&quota);
 }
 END_TEST
 
-/* Guards against reports that travel round and grow younger or older. */
+/* Guards against reports whose age changes as hosts forward them. */
 START_TEST(forwarded_report_keeps_its_age)
 {
 	quota_report_t reports[4];
@@ -81,7 +83,7 @@
 	quota_init(&quota, WINDOW, true);
 	quota_apply_report(&quota, 5, 1000, NOW - PIMENTO_SEC);
 	quota_apply_report(&quota, 5, 9000,
-			   NOW - 2 * PIMENTO_SEC); /* overtaken */
+			   NOW - 2 * PIMENTO_SEC); /* older than the first */
 	ck_assert_uint_eq(quota_collect_reports(&quota, reports, 4, NOW), 1);
 	ck_assert_double_eq(reports[0].level, 1000);
 	ck_assert_int_eq(reports[0].age, PIMENTO_SEC);
@@ -92,7 +94,7 @@
 }
 END_TEST
 
-/* Guards against a host that has an older configuration and raises a limit. */
+/* Guards against a limit that a host with an older configuration raises. */
 START_TEST(older_config_version_does_not_change_limit)
 {
 	const quota_limit_t lower = { 1000, 1000 };
--- a/test/test_quota_fleet.c
+++ b/test/test_quota_fleet.c
@@ -1,7 +1,8 @@
 /*
- * An account's quota across a fleet in virtual time: hosts that are killed all
- * at once and rediscover each other through seeds, owners that are killed or
- * frozen, and cuts, while one account asks for many times its rate.
+ * Quota of one account over all hosts in virtual time: hosts that are killed
+ * together and rediscover each other through seeds, owners that are killed or
+ * frozen, and network partitions, while the account requests many times its
+ * rate.
  */
 
 #include "quota_sim.h"
@@ -13,12 +14,12 @@
 enum {
 	KILL_S = 12,
 	RUN_S = 24,
-	DOWN_MS = 1000, /* from the kill to the first restart */
-	RESTART_SPREAD_MS = 300, /* from the first restart to the last */
+	DOWN_MS = 1000, /* from the kill of all hosts to the first restart */
+	RESTART_SPREAD_MS = 300, /* from the first host's restart to the last */
 	WINDOW_S = 8
 };
 
-/* Tolerances above rate * window + burst: relative and absolute. */
+/* Relative and absolute tolerance above a quota of rate * window + burst. */
 #define OVERRUN_RATIO 0.25
 #define SLACK_TOKENS 140000
 
@@ -49,9 +50,10 @@
 static const struct {
 	const char *name;
 	uint32_t hosts;
-	double load; /* tokens requested of all hosts, in multiples of the rate */
-	double refused_ratio_max; /* part of the requests after the kill */
-	double admitted_ratio_min; /* part of rate * time after the kill */
+	/* tokens requested over all hosts, in multiples of the rate */
+	double load;
+	double refused_ratio_max; /* of the tokens requested after the kill */
+	double admitted_ratio_min; /* of rate * time after the kill */
 } cases[] = {
 	{ "half the rate at 87 hosts", 87, 0.5, 0.05, 0.45 },
 	{ "0.9 times the rate at 87 hosts", 87, 0.9, 0.15, 0.75 },
@@ -67,7 +69,7 @@
 	{ "7.5 times the rate at 295 hosts", 295, 7.5, 1, 0.9 },
 };
 
-/* When a host restarts after the kill, in milliseconds of the run. */
+/* Time at which a host restarts after the kill, in milliseconds of the run. */
 static uint32_t restart_ms(uint32_t index, uint32_t count)
 {
 	return KILL_S * 1000 + DOWN_MS +
@@ -83,7 +85,10 @@
 			quota_sim_start(&sim, i, false);
 }
 
-/* Guards against overuse by restarted hosts that know only some peers. */
+/*
+ * Guards against admission above the quota by restarted hosts that know only
+ * some of their peers.
+ */
 START_TEST(quota_holds_while_restarted_hosts_discover_peers)
 {
 	const double min_tokens =
@@ -120,8 +125,8 @@
 	NO_FAULT,
 	KILL_OWNER,
 	FREEZE_OWNER,
-	PARTITION_HOSTS, /* a quarter of the hosts from the others */
-	LOWER_LIMIT /* to a half, while the owner is killed */
+	PARTITION_HOSTS, /* a quarter of the hosts is cut off from the others */
+	LOWER_LIMIT /* to a half; the owner is killed as well */
 } fault_t;
 
 enum { FAULT_AT_S = 10, FAULT_FOR_S = 10, FAULT_RUN_S = 28 };
@@ -129,19 +134,21 @@
 static const struct {
 	const char *name;
 	uint32_t hosts;
-	double load;
+	double load; /* in multiples of the rate */
 	fault_t fault;
-	double min_ratio; /* part of the rate that is admitted over the run */
+	double min_ratio; /* of the rate, admitted over the whole run */
 } fault_cases[] = {
-	{ "steady at the rate", 8, 0.95, NO_FAULT, 0.94 },
-	{ "four times the rate", 8, 4, NO_FAULT, 1.0 },
-	{ "the owner killed, four times", 8, 4, KILL_OWNER, 1.0 },
-	{ "the owner killed, half the rate", 87, 0.5, KILL_OWNER, 0.45 },
-	{ "the owner killed, 7.5 times", 295, 7.5, KILL_OWNER, 0.95 },
-	{ "the owner frozen, 7.5 times", 295, 7.5, FREEZE_OWNER, 0.95 },
-	{ "cut in two, four times", 8, 4, PARTITION_HOSTS, 0.95 },
-	{ "cut in two, 7.5 times", 295, 7.5, PARTITION_HOSTS, 0.8 },
-	{ "the limit lowered, 7.5 times", 87, 7.5, LOWER_LIMIT, 0.14 },
+	{ "0.95 times the rate, no fault", 8, 0.95, NO_FAULT, 0.94 },
+	{ "four times the rate, no fault", 8, 4, NO_FAULT, 1.0 },
+	{ "owner killed, four times the rate", 8, 4, KILL_OWNER, 1.0 },
+	{ "owner killed, half the rate", 87, 0.5, KILL_OWNER, 0.45 },
+	{ "owner killed, 7.5 times the rate", 295, 7.5, KILL_OWNER, 0.95 },
+	{ "owner frozen, 7.5 times the rate", 295, 7.5, FREEZE_OWNER, 0.95 },
+	{ "hosts partitioned, four times the rate", 8, 4, PARTITION_HOSTS,
+	  0.95 },
+	{ "hosts partitioned, 7.5 times the rate", 295, 7.5, PARTITION_HOSTS,
+	  0.8 },
+	{ "limit lowered, 7.5 times the rate", 87, 7.5, LOWER_LIMIT, 0.14 },
 };
 
 static void inject_fault(fault_t fault)
@@ -179,8 +186,8 @@
 }
 
 /*
- * Guards against a limit that is given out twice, or not at all, while its
- * owner is gone or hosts cannot hear each other.
+ * Guards against a limit that is admitted twice, or not at all, while the owner
+ * is gone or hosts cannot reach each other.
  */
 START_TEST(quota_holds_in_every_window_during_faults)
 {
@@ -192,7 +199,7 @@
 	check_quota(fault_cases[_i].name);
 	inject_fault(fault_cases[_i].fault);
 	if (fault_cases[_i].fault == LOWER_LIMIT) {
-		/* a lower limit binds one window later */
+		/* a lower limit is only met one window after the change */
 		step_ms(FAULT_FOR_S * 1000, load);
 		memset(sim.admitted, 0, sizeof(sim.admitted));
 	} else {
@@ -203,24 +210,26 @@
 	all = quota_sim_admitted(&sim, 0, FAULT_RUN_S);
 	check_quota(fault_cases[_i].name);
 	ck_assert_msg(all >= fault_cases[_i].min_ratio * 200000.0 * FAULT_RUN_S,
-		      "%s: only %.0f tokens", fault_cases[_i].name, all);
+		      "%s: admitted only %.0f tokens", fault_cases[_i].name,
+		      all);
 	quota_sim_finish(&sim);
 }
 END_TEST
 
 /*
- * Guards against an account that gets several times its rate in one second
- * and nothing in the next ones.
+ * Guards against an account that is admitted several times its rate in one
+ * second and nothing in the next.
  */
 enum { SURGE_AT_S = 2, STEADY_FROM_S = 6 };
 
 static const struct {
 	const char *name;
-	double rate_multiple; /* times the rate, over all hosts */
-	double min_ratio; /* part of the rate, in each second after the first few */
-	double max_ratio;
+	/* load over all hosts, in multiples of the rate */
+	double rate_multiple;
+	double min_ratio; /* of the rate, in each second from STEADY_FROM_S */
+	double max_ratio; /* of the rate, in the same seconds */
 } surge_cases[] = {
-	{ "half as much again", 1.5, 0.5, 1.6 },
+	{ "1.5 times the rate", 1.5, 0.5, 1.6 },
 	{ "five times the rate", 5, 0.5, 1.7 },
 	{ "ten times the rate", 10, 0.5, 1.7 },
 };
@@ -236,7 +245,7 @@
 
 		ck_assert_msg(ratio >= surge_cases[_i].min_ratio &&
 				      ratio <= surge_cases[_i].max_ratio,
-			      "%s: %.2f of the rate in second %u",
+			      "%s: admitted %.2f of the rate in second %u",
 			      surge_cases[_i].name, ratio, second);
 	}
 	quota_sim_finish(&sim);
@@ -244,25 +253,26 @@
 END_TEST
 
 /*
- * What an account asks for by tier, in times its rate, and the part of each
- * that is admitted: at least, and of the least urgent at most.
+ * Load of each tier in multiples of the account's rate, the least ratio of the
+ * most urgent tier that is admitted, and the greatest of the least urgent.
  */
 static const struct {
 	const char *name;
 	uint32_t hosts;
 	double rate_multiples[QUOTA_SIM_TIERS];
-	double min_ratio; /* of what tier 0 asks */
-	double max_ratio; /* of what the last tier asks */
+	double min_ratio; /* admitted of the tokens that tier 0 requests */
+	/* admitted of the tokens that the last tier requests */
+	double max_ratio;
 } tier_cases[] = {
-	{ "the urgent alone fit", 8, { 0.7, 1.4, 1.4 }, 0.9, 0.25 },
-	{ "the urgent alone are too many", 8, { 2, 2, 2 }, 0.4, 0.1 },
-	{ "all fit", 8, { 0.3, 0.3, 0.3 }, 0.99, 1 },
-	{ "the urgent alone fit, 87 hosts", 87, { 0.7, 1.4, 1.4 }, 0.9, 0.25 },
+	{ "tier 0 alone fits, 8 hosts", 8, { 0.7, 1.4, 1.4 }, 0.9, 0.25 },
+	{ "tier 0 alone exceeds the rate", 8, { 2, 2, 2 }, 0.4, 0.1 },
+	{ "all tiers fit", 8, { 0.3, 0.3, 0.3 }, 0.99, 1 },
+	{ "tier 0 alone fits, 87 hosts", 87, { 0.7, 1.4, 1.4 }, 0.9, 0.25 },
 };
 
 /*
- * Guards against urgent work refused while its account's other work is
- * served.
+ * Guards against urgent requests that are refused while less urgent requests of
+ * the same account are admitted.
  */
 START_TEST(scarce_account_admits_urgent_tiers_first)
 {
@@ -276,10 +286,12 @@
 		quota_sim_step(&sim, tier_cases[_i].rate_multiples);
 	urgent = sim.admitted_tokens[0] / sim.requested_tokens[0];
 	least_urgent = sim.admitted_tokens[last] / sim.requested_tokens[last];
-	ck_assert_msg(urgent >= tier_cases[_i].min_ratio, "%s: %.2f",
-		      tier_cases[_i].name, urgent);
-	ck_assert_msg(least_urgent <= tier_cases[_i].max_ratio, "%s: %.2f",
-		      tier_cases[_i].name, least_urgent);
+	ck_assert_msg(urgent >= tier_cases[_i].min_ratio,
+		      "%s: admitted %.2f of tier 0", tier_cases[_i].name,
+		      urgent);
+	ck_assert_msg(least_urgent <= tier_cases[_i].max_ratio,
+		      "%s: admitted %.2f of the last tier", tier_cases[_i].name,
+		      least_urgent);
 	quota_sim_finish(&sim);
 }
 END_TEST
--- a/test/test_quota_share.c
+++ b/test/test_quota_share.c
@@ -1,4 +1,4 @@
-/* What one host may admit of an account that is scarce. */
+/* Division of a scarce account's rate of tokens. */
 
 #include "quota_share.h"
 
@@ -8,9 +8,9 @@
 enum { STEP_MS = 10, RUN_S = 20 };
 
 /*
- * Callers ask for more than the host's share, in requests of very different
- * sizes. On average the share is admitted; a large request takes what the next
- * seconds would have brought, and is not shut out for being large.
+ * Guards against large requests that are never admitted, and against spending
+ * above the rate. Callers request more than the rate, in very different sizes;
+ * a large request overdraws the credit of the next seconds.
  */
 START_TEST(spending_averages_the_refill_rate)
 {
@@ -41,7 +41,8 @@
 
 	for (int i = 0; i < 2000; i++) {
 		now += STEP_MS * PIMENTO_MSEC;
-		quota_share_add_demand(&share, 0, 50, now); /* 5,000 a second */
+		quota_share_add_demand(&share, 0, 50,
+				       now); /* 5,000 tokens per second */
 	}
 	ck_assert_double_eq_tol(quota_share_demand(&share, now), 5000, 100);
 	ck_assert_double_le(quota_share_demand(&share, now + 30 * PIMENTO_SEC),
--- a/test/test_retry_budget.c
+++ b/test/test_retry_budget.c
@@ -1,4 +1,4 @@
-/* Repeats of all hosts together stay within the operators' bound. */
+/* The retries of all hosts together stay within the operator's bound. */
 
 #include "retry_budget.h"
 
@@ -27,18 +27,18 @@
 			requests_in_window -= requests[i - steps];
 			retries_in_window -= retries[i - steps];
 		}
-		ck_assert_msg(retries_in_window <=
-				      limits.ratio * requests_in_window +
-					      limits.slack,
-			      "step %d: %.0f repeats of %.0f", i,
-			      retries_in_window, requests_in_window);
+		ck_assert_msg(
+			retries_in_window <= limits.ratio * requests_in_window +
+						     limits.slack,
+			"step %d: %.0f retries of %.0f requests in the window",
+			i, retries_in_window, requests_in_window);
 	}
 }
 
 /*
- * Every request fails at its first endpoint, everywhere at once, and in the
- * middle all hosts are killed and forget what they have repeated. Endpoints
- * that are in trouble would get half as much again as without it.
+ * Guards against retries that add half to the load of failing endpoints. Every
+ * request fails at its first endpoint, on all hosts at once, and halfway all
+ * hosts are killed and lose their counts of retries.
  */
 START_TEST(retries_stay_within_budget_when_all_requests_fail)
 {
@@ -58,7 +58,9 @@
 		all += retries[i];
 	}
 	check_windows();
-	ck_assert_uint_gt(all, 400); /* a tenth at least is repeated */
+	ck_assert_uint_gt(
+		all,
+		400); /* at least a tenth of the 4000 requests is retried */
 }
 END_TEST
 
--- a/test/test_wait_queue.c
+++ b/test/test_wait_queue.c
@@ -1,4 +1,4 @@
-/* Which waiting request goes next, and when one is turned away. */
+/* Order of waiting requests, and the time at which they are rejected. */
 
 #include "wait_queue.h"
 
@@ -44,9 +44,10 @@
 END_TEST
 
 /*
- * In an overload a caller wants an answer that takes as long as twenty others.
- * Were it served in its turn, the twenty that came just after it would be late or
- * turned away; were it always last, it would never be served.
+ * Guards against a long answer that delays short ones, and against one that
+ * starves. In an overload a request takes as long as twenty others. Served in
+ * order of arrival, it would make the next twenty overdue or rejected; always
+ * served last, it would never run.
  */
 START_TEST(long_answer_yields_to_short_ones_without_starving)
 {
@@ -73,9 +74,9 @@
 END_TEST
 
 /*
- * A burst has filled the queue. Served in order of arrival, everyone would be
- * answered just too late; callers see every answer miss its goal although
- * half of them could have been on time.
+ * Guards against a burst that makes every answer late. It has filled the queue;
+ * in order of arrival each request would be answered just after its objective,
+ * although half of them could have met it.
  */
 START_TEST(overdue_requests_go_behind_timely_ones)
 {
@@ -95,10 +96,10 @@
 END_TEST
 
 /*
- * An engine crashes while it makes an answer, in an overload. The time for which
- * the request was to wait for its first place has passed long ago; were it still
- * to count, the answer would break off at once, and its caller, who would have
- * waited for the rest, has half an answer and starts anew.
+ * Guards against an answer cut off by the wait limit of its first slot. In an
+ * overload an engine crashes during an answer, long after that limit. If it
+ * still applied, the request would be rejected at once, and a caller that would
+ * have waited for the rest would have half an answer and start again.
  */
 START_TEST(resumed_answer_outlives_first_wait_limit)
 {
@@ -123,27 +124,30 @@
 }
 END_TEST
 
-/* What a request brings, and when it is late and turned away. */
+/* Time limits of a request, and when it becomes overdue and is rejected. */
 static const struct {
 	const char *what;
-	wait_queue_timing_t timing; /* in milliseconds */
+	wait_queue_timing_t timing; /* all times in milliseconds */
 	int64_t overdue_at;
 	int64_t expires_at;
 } times[] = {
-	{ "a stream with much time",
+	{ "stream with a long time-out",
 	  { 1000, 0, 600, 100, 0, 300, 16000 },
 	  1500,
 	  1000 + 1920 - 100 },
-	{ "a stream whose caller leaves soon",
+	{ "stream with a short time-out",
 	  { 1000, 0, 400, 100, 0, 300, 4000 },
 	  1300,
 	  1600 },
-	{ "a plain call", { 1000, 0, 100, 20, 0, 0, 2000 }, 1080, 1200 },
-	{ "one that has come back late",
+	{ "request without a stream",
+	  { 1000, 0, 100, 20, 0, 0, 2000 },
+	  1080,
+	  1200 },
+	{ "retry that is overdue on arrival",
 	  { 1000, 3000, 600, 100, 0, 300, 12000 },
 	  -1500,
 	  1000 + 1920 - 100 },
-	{ "one with hardly any time",
+	{ "request with little time left",
 	  { 1000, 0, 600, 100, 0, 300, 1050 },
 	  1500,
 	  1050 },
@@ -162,10 +166,10 @@
 	timing.deadline *= MS;
 	wait_queue_set_times(&it, &timing);
 	ck_assert_msg(it.overdue_at / MS == times[_i].overdue_at,
-		      "%s: late %lld", times[_i].what,
+		      "%s: overdue at %lld ms", times[_i].what,
 		      (long long)(it.overdue_at / MS));
 	ck_assert_msg(it.expires_at / MS == times[_i].expires_at,
-		      "%s: given up %lld", times[_i].what,
+		      "%s: expires at %lld ms", times[_i].what,
 		      (long long)(it.expires_at / MS));
 	ck_assert(it.overdue == (it.overdue_at <= timing.arrived));
 }
