--- a/pimentoshelf.h
+++ b/pimentoshelf.h
@@ -284,7 +284,7 @@
  * with "nothing newer". After a pause that confirms what is held.
  */
 void pimento_host_confirm_current(pimento_host_t *host, pimento_usec_t now,
-				  pimento_usec_t begun);
+				  pimento_usec_t read_started);
 
 /*
  * How to read the platform now: true for a blocking watch, false for a plain
--- a/src/entry.c
+++ b/src/entry.c
@@ -391,20 +391,20 @@
 static void report_outcome(entry_table_t *table, pimento_usec_t now,
 			   entry_t *entry, const pimento_event_t *event)
 {
-	message_dispatch_t place = { 0 };
+	message_dispatch_t record = { 0 };
 
 	if (!entry->claim || entry->claim->state != CLAIM_TAKEN)
 		return;
-	place.request = entry->id;
-	place.endpoint = entry->endpoint;
-	place.digest = entry->request.digest;
-	place.done = 1;
-	place.status = event->status;
+	record.request = entry->id;
+	record.endpoint = entry->endpoint;
+	record.digest = entry->request.digest;
+	record.done = 1;
+	record.status = event->status;
 	if (event->answer && event->answer_size <= MESSAGE_ANSWER_BYTES_MAX) {
-		place.answer_size = (uint16_t)event->answer_size;
-		memcpy(place.answer, event->answer, event->answer_size);
+		record.answer_size = (uint16_t)event->answer_size;
+		memcpy(record.answer, event->answer, event->answer_size);
 	}
-	claim_complete(entry->claim, now, &place, table->out);
+	claim_complete(entry->claim, now, &record, table->out);
 }
 
 static void on_done(entry_table_t *table, pimento_usec_t now, entry_t *entry,
@@ -438,7 +438,7 @@
 static void on_connection_lost(entry_table_t *table, pimento_usec_t now,
 			       entry_t *entry)
 {
-	if (entry->caller_gone || !entry->request.is_model ||
+	if (entry->caller_disconnected || !entry->request.is_model ||
 	    entry->resumes >= RESUMES_MAX ||
 	    now >= entry->deadline + RESUME_GRACE) {
 		entry_release(table, entry, RELEASE_FAILED);
@@ -466,7 +466,7 @@
 {
 	bool own = pimento_reqid_equal(entry->resume_stream, entry->id);
 
-	if (own || !entry->claim || entry->caller_gone) {
+	if (own || !entry->claim || entry->caller_disconnected) {
 		entry_release(table, entry, RELEASE_FAILED);
 		entry_refuse(table, entry, PIMENTO_MAY_HAVE_RUN,
 			     PIMENTO_EENDPOINT, 0);
@@ -488,7 +488,7 @@
 
 	table->counters.callers_left++;
 	if (entry->claim && entry->state == ENTRY_DISPATCHED) {
-		entry->caller_gone = true;
+		entry->caller_disconnected = true;
 		return;
 	}
 	if (entry->state == ENTRY_DISPATCHED) {
--- a/src/entry.h
+++ b/src/entry.h
@@ -66,7 +66,7 @@
 		progress_sent_at; /* when the owner was last told of progress */
 	uint32_t tokens;
 	uint32_t resumes;
-	bool caller_gone; /* the caller left */
+	bool caller_disconnected; /* the caller left */
 	/* key */
 	claim_t *claim; /* NULL without a key */
 	pimento_key_t key;
--- a/src/entry_claim.c
+++ b/src/entry_claim.c
@@ -28,7 +28,7 @@
 	entry_schedule(table, entry, claim_deadline(entry->claim));
 }
 
-static void dispatch(entry_table_t *table, entry_t *entry)
+static void queue_dispatch(entry_table_t *table, entry_t *entry)
 {
 	pimento_action_t action = { .kind = PIMENTO_ACTION_DISPATCH };
 
@@ -43,25 +43,25 @@
 static void request_claim(entry_table_t *table, pimento_usec_t now,
 			  entry_t *entry)
 {
-	message_dispatch_t place = { 0 };
+	message_dispatch_t record = { 0 };
 
-	place.request = entry->id;
-	place.endpoint = entry->endpoint;
-	place.digest = entry->request.digest;
+	record.request = entry->id;
+	record.endpoint = entry->endpoint;
+	record.digest = entry->request.digest;
 	entry->state = ENTRY_CLAIMING;
-	claim_take(entry->claim, now, &place, table->out);
+	claim_take(entry->claim, now, &record, table->out);
 	entry_schedule(table, entry, claim_deadline(entry->claim));
 }
 
 void entry_on_grant(entry_table_t *table, pimento_usec_t now, entry_t *entry)
 {
 	if (!entry->claim) {
-		dispatch(table, entry);
+		queue_dispatch(table, entry);
 		return;
 	}
 	/*
 	 * Taken before, for an endpoint that could not be reached: the claim
-	 * stays ours and only names another place. If the query is still out,
+	 * stays ours and only names another record. If the query is still out,
 	 * its event comes back here.
 	 */
 	if (entry->claim->state == CLAIM_AVAILABLE ||
@@ -138,7 +138,7 @@
 			 entry_t *entry)
 {
 	if (now < entry->grant_expires_at && now < entry->deadline) {
-		dispatch(table, entry);
+		queue_dispatch(table, entry);
 		return;
 	}
 	entry_release(table, entry, RELEASE_UNUSED);
--- a/src/entry_reserve.c
+++ b/src/entry_reserve.c
@@ -49,8 +49,8 @@
 	outbox_put(table->out, entry->owner, &message);
 }
 
-static void ask(entry_table_t *table, pimento_usec_t now, entry_t *entry,
-		pimento_id_t endpoint, uint8_t hops)
+static void request_slot(entry_table_t *table, pimento_usec_t now,
+			 entry_t *entry, pimento_id_t endpoint, uint8_t hops)
 {
 	entry->state = ENTRY_RESERVING;
 	entry->round++;
@@ -109,8 +109,8 @@
 	if (now < entry->deadline)
 		error = route_pick(table->route, now, &query, &choice);
 	if (!error) {
-		ask(table, now, entry, choice.endpoint,
-		    (uint8_t)entry->retry.refused_count);
+		request_slot(table, now, entry, choice.endpoint,
+			     (uint8_t)entry->retry.refused_count);
 		return;
 	}
 	if (error == PIMENTO_EUNREACHABLE && !entry->retry.refused_count &&
@@ -122,8 +122,9 @@
 }
 
 /* The endpoint's owner said no: route.c knows who is left to be asked. */
-static void refused(entry_table_t *table, pimento_usec_t now, entry_t *entry,
-		    const message_refuse_t *refuse)
+static void reserve_after_refusal(entry_table_t *table, pimento_usec_t now,
+				  entry_t *entry,
+				  const message_refuse_t *refuse)
 {
 	route_query_t query;
 	route_choice_t choice;
@@ -138,7 +139,7 @@
 	if (error)
 		entry_abort(table, now, entry, error, entry->retry.retry_after);
 	else
-		ask(table, now, entry, choice.endpoint, hops);
+		request_slot(table, now, entry, choice.endpoint, hops);
 }
 
 /*
@@ -159,8 +160,8 @@
 	query.avoid = avoid;
 	if (now < entry->deadline &&
 	    !route_pick(table->route, now, &query, &choice)) {
-		ask(table, now, entry, choice.endpoint,
-		    (uint8_t)entry->retry.refused_count);
+		request_slot(table, now, entry, choice.endpoint,
+			     (uint8_t)entry->retry.refused_count);
 		return;
 	}
 	entry->state = ENTRY_RESERVING;
@@ -283,7 +284,7 @@
 {
 	entry_t *entry =
 		find_waiting_entry(table, from, grant->request, grant->round);
-	const entry_t *any = entry_find(table, grant->request.lo);
+	const entry_t *current = entry_find(table, grant->request.lo);
 
 	if (entry && !entry->grant_expires_at) {
 		entry->last_reply_at = now;
@@ -293,7 +294,8 @@
 		return;
 	}
 	/* A grant said twice is held already; only a stale one goes back. */
-	if (any && any->round == grant->round && any->owner == from &&
+	if (current && current->round == grant->round &&
+	    current->owner == from &&
 	    grant->request.hi == table->options.incarnation)
 		return;
 	release_stale_grant(table, from, grant);
@@ -330,7 +332,7 @@
 		schedule_reserve(table, entry, now + STALE_OWNER_RETRY_DELAY);
 		return;
 	}
-	refused(table, now, entry, refuse);
+	reserve_after_refusal(table, now, entry, refuse);
 }
 
 /* The witness's answer goes to the entry that asked; sequences are unique. */
--- a/src/host.c
+++ b/src/host.c
@@ -73,11 +73,11 @@
 static int init_modules(pimento_host_t *host, pimento_usec_t now)
 {
 	const pimento_host_options_t *o = &host->options;
-	membership_options_t member = { .self = host->self,
-					.incarnation = o->incarnation,
-					.seed = o->seed + 1 };
-	config_sync_options_t spread = { .self = host->self,
-					 .seed = o->seed + 2 };
+	membership_options_t membership = { .self = host->self,
+					    .incarnation = o->incarnation,
+					    .seed = o->seed + 1 };
+	config_sync_options_t config_sync = { .self = host->self,
+					      .seed = o->seed + 2 };
 	owner_options_t owner = { .self = host->self,
 				  .seed = o->seed + 3,
 				  .waiting_max = o->waiting_max };
@@ -92,9 +92,10 @@
 	int error = outbox_init(&host->out, OUTBOX_CAPACITY);
 
 	if (!error)
-		error = membership_init(&host->membership, &member, &host->out);
+		error = membership_init(&host->membership, &membership,
+					&host->out);
 	if (!error)
-		error = config_sync_init(&host->config_sync, &spread,
+		error = config_sync_init(&host->config_sync, &config_sync,
 					 &host->out);
 	if (!error)
 		error = owner_init(&host->owner, &owner, &host->out);
@@ -371,10 +372,10 @@
 }
 
 void pimento_host_confirm_current(pimento_host_t *host, pimento_usec_t now,
-				  pimento_usec_t begun)
+				  pimento_usec_t read_started)
 {
 	host->now = now;
-	membership_platform_read_done(&host->membership, now, begun);
+	membership_platform_read_done(&host->membership, now, read_started);
 }
 
 bool pimento_host_is_current(const pimento_host_t *host)
--- a/test/gossip_sim.c
+++ b/test/gossip_sim.c
@@ -18,12 +18,13 @@
 #define PAUSE_DETECTED_MIN \
 	(2 * PIMENTO_SEC) /* a shorter one may go unnoticed */
 
-static bool before(const gossip_sim_event_t *a, const gossip_sim_event_t *b)
+static bool event_before(const gossip_sim_event_t *a,
+			 const gossip_sim_event_t *b)
 {
 	return a->at != b->at ? a->at < b->at : a->order < b->order;
 }
 
-static void push(gossip_sim_t *sim, gossip_sim_event_t event)
+static void push_event(gossip_sim_t *sim, gossip_sim_event_t event)
 {
 	uint32_t i = sim->heap_count++;
 
@@ -34,12 +35,13 @@
 				    sim->heap_capacity * sizeof(*sim->heap));
 	}
 	event.order = ++sim->order;
-	for (; i && before(&event, &sim->heap[(i - 1) / 2]); i = (i - 1) / 2)
+	for (; i && event_before(&event, &sim->heap[(i - 1) / 2]);
+	     i = (i - 1) / 2)
 		sim->heap[i] = sim->heap[(i - 1) / 2];
 	sim->heap[i] = event;
 }
 
-static gossip_sim_event_t pop(gossip_sim_t *sim)
+static gossip_sim_event_t pop_event(gossip_sim_t *sim)
 {
 	gossip_sim_event_t top = sim->heap[0];
 	gossip_sim_event_t last = sim->heap[--sim->heap_count];
@@ -51,9 +53,9 @@
 		if (child >= sim->heap_count)
 			break;
 		if (child + 1 < sim->heap_count &&
-		    before(&sim->heap[child + 1], &sim->heap[child]))
+		    event_before(&sim->heap[child + 1], &sim->heap[child]))
 			child++;
-		if (!before(&sim->heap[child], &last))
+		if (!event_before(&sim->heap[child], &last))
 			break;
 		sim->heap[i] = sim->heap[child];
 		i = child;
@@ -101,7 +103,7 @@
 	event.at = sim->now + random_delay(sim);
 	event.message = malloc(size);
 	memcpy(event.message, message, size);
-	push(sim, event);
+	push_event(sim, event);
 }
 
 static void report_violation(gossip_sim_t *sim, const gossip_sim_host_t *h,
@@ -184,8 +186,8 @@
 	if (at == h->tick_at)
 		return;
 	h->tick_at = at;
-	push(sim, (gossip_sim_event_t){ .at = at,
-					.host = (uint32_t)(h - sim->hosts) });
+	push_event(sim, (gossip_sim_event_t){
+				.at = at, .host = (uint32_t)(h - sim->hosts) });
 }
 
 static void poll_platform(gossip_sim_t *sim, gossip_sim_host_t *h)
@@ -225,7 +227,7 @@
 	membership_platform_read_done(&h->membership, sim->now, sim->now);
 }
 
-static void tick(gossip_sim_t *sim, gossip_sim_host_t *h)
+static void tick_host(gossip_sim_t *sim, gossip_sim_host_t *h)
 {
 	membership_tick(&h->membership, sim->now);
 	config_sync_tick(&h->config_sync, sim->now);
@@ -233,8 +235,8 @@
 		poll_platform(sim, h);
 }
 
-static void receive(gossip_sim_t *sim, gossip_sim_host_t *h, pimento_id_t from,
-		    const message_t *m)
+static void receive_message(gossip_sim_t *sim, gossip_sim_host_t *h,
+			    pimento_id_t from, const message_t *m)
 {
 	if (m->kind == MESSAGE_PROBE || m->kind == MESSAGE_ACK) {
 		membership_receive(&h->membership, sim->now, from, m);
@@ -254,7 +256,7 @@
 static uint64_t min_revision_in_force(const gossip_sim_t *sim,
 				      const gossip_sim_host_t *woken)
 {
-	uint64_t floor = UINT64_MAX;
+	uint64_t lowest = UINT64_MAX;
 
 	for (uint32_t i = 0; i < sim->count; i++) {
 		const gossip_sim_host_t *h = &sim->hosts[i];
@@ -264,10 +266,10 @@
 		if (sim->now < h->paused_until ||
 		    !membership_is_fresh(&h->membership, sim->now))
 			return 0;
-		if (h->revision < floor)
-			floor = h->revision;
+		if (h->revision < lowest)
+			lowest = h->revision;
 	}
-	return floor == UINT64_MAX ? 0 : floor;
+	return lowest == UINT64_MAX ? 0 : lowest;
 }
 
 static void resume_host(gossip_sim_t *sim, gossip_sim_host_t *h)
@@ -286,16 +288,16 @@
 		event.at = h->paused_until;
 		if (!event.message)
 			h->tick_at = event.at;
-		push(sim, event);
+		push_event(sim, event);
 		return;
 	}
 	if (h->up && h->paused_until)
 		resume_host(sim, h);
 	if (h->up && event.message) {
-		receive(sim, h, event.from, event.message);
+		receive_message(sim, h, event.from, event.message);
 		finish_step(sim, h);
 	} else if (h->up && event.at == h->tick_at) {
-		tick(sim, h);
+		tick_host(sim, h);
 		finish_step(sim, h);
 	}
 	free(event.message);
@@ -306,7 +308,7 @@
 	pimento_usec_t end = sim->now + span;
 
 	while (sim->heap_count && sim->heap[0].at <= end) {
-		gossip_sim_event_t event = pop(sim);
+		gossip_sim_event_t event = pop_event(sim);
 
 		sim->now = event.at;
 		handle_event(sim, event);
@@ -334,18 +336,18 @@
 void gossip_sim_start_host(gossip_sim_t *sim, uint32_t host)
 {
 	gossip_sim_host_t *h = &sim->hosts[host];
-	membership_options_t member = { .self = h->id };
-	config_sync_options_t spread = { .self = h->id };
+	membership_options_t membership = { .self = h->id };
+	config_sync_options_t config_sync = { .self = h->id };
 
 	if (h->up)
 		return;
 	h->incarnation = pimento_random_next(&sim->random);
-	member.incarnation = h->incarnation;
-	member.seed = pimento_random_next(&sim->random);
-	spread.seed = pimento_random_next(&sim->random);
+	membership.incarnation = h->incarnation;
+	membership.seed = pimento_random_next(&sim->random);
+	config_sync.seed = pimento_random_next(&sim->random);
 	outbox_init(&h->out, OUTBOX_CAPACITY);
-	membership_init(&h->membership, &member, &h->out);
-	config_sync_init(&h->config_sync, &spread, &h->out);
+	membership_init(&h->membership, &membership, &h->out);
+	config_sync_init(&h->config_sync, &config_sync, &h->out);
 	h->up = true;
 	h->revision = 0;
 	h->wake_revision_min = 0;
@@ -357,7 +359,7 @@
 	for (uint32_t i = 0; i < 2; i++)
 		membership_add_host(&h->membership, sim->now,
 				    sim->hosts[(host + 1 + i) % sim->count].id);
-	tick(sim, h);
+	tick_host(sim, h);
 	finish_step(sim, h);
 }
 
--- a/test/gossip_sim.h
+++ b/test/gossip_sim.h
@@ -1,5 +1,5 @@
-#ifndef GOSSIP_H
-#define GOSSIP_H
+#ifndef GOSSIP_SIM_H
+#define GOSSIP_SIM_H
 
 /*
  * Many hosts' membership and spread in virtual time, for tests and for the
--- a/test/netsim.c
+++ b/test/netsim.c
@@ -28,7 +28,7 @@
 	NETSIM_EVENT_CALLER_LEAVE /* a caller leaves */
 } netsim_event_kind_t;
 
-typedef struct event {
+typedef struct netsim_event {
 	netsim_event_kind_t kind;
 	pimento_usec_t due;
 	uint32_t host;
@@ -41,7 +41,7 @@
 } netsim_event_t;
 
 /* What the netsim knows of one request id, whatever hosts believe. */
-typedef struct tracked {
+typedef struct tracked_request {
 	pimento_reqid_t id;
 	uint32_t host;
 	uint64_t incarnation;
@@ -49,13 +49,13 @@
 	uint32_t attempt; /* at its commit or refusal */
 	uint32_t commits;
 	bool answered;
-	bool caller_gone; /* its caller hears nothing more */
+	bool caller_disconnected; /* its caller hears nothing more */
 	bool not_run;
 	pimento_usec_t run_ends_at; /* at the endpoint, 0 never ran */
 	pimento_id_t endpoint;
 } tracked_request_t;
 
-typedef struct sim_host {
+typedef struct netsim_host {
 	pimento_host_t *host; /* NULL: down */
 	uint64_t incarnation;
 	pimento_usec_t paused_until;
@@ -98,19 +98,19 @@
 	return pimento_random_below(&netsim->random, bound);
 }
 
-static void report_violation(netsim_t *netsim, const char *promise,
+static void report_violation(netsim_t *netsim, const char *invariant,
 			     const tracked_request_t *tracked)
 {
 	if (*netsim->violation)
 		return;
 	snprintf(netsim->violation, sizeof(netsim->violation),
 		 "%s (request %llx/%llx, key %d, attempt %u, at %lld us)",
-		 promise, (unsigned long long)tracked->id.hi,
+		 invariant, (unsigned long long)tracked->id.hi,
 		 (unsigned long long)tracked->id.lo, tracked->key,
 		 tracked->attempt, (long long)netsim->now);
 }
 
-static void swap(netsim_event_t *a, netsim_event_t *b)
+static void swap_events(netsim_event_t *a, netsim_event_t *b)
 {
 	netsim_event_t t = *a;
 
@@ -118,7 +118,7 @@
 	*b = t;
 }
 
-static void push(netsim_t *netsim, const netsim_event_t *event)
+static void push_event(netsim_t *netsim, const netsim_event_t *event)
 {
 	uint32_t i = netsim->event_count++;
 
@@ -131,10 +131,10 @@
 	netsim->events[i] = *event;
 	for (; i && netsim->events[(i - 1) / 2].due > netsim->events[i].due;
 	     i = (i - 1) / 2)
-		swap(&netsim->events[i], &netsim->events[(i - 1) / 2]);
+		swap_events(&netsim->events[i], &netsim->events[(i - 1) / 2]);
 }
 
-static netsim_event_t pop(netsim_t *netsim)
+static netsim_event_t pop_event(netsim_t *netsim)
 {
 	netsim_event_t first = netsim->events[0];
 	uint32_t i = 0;
@@ -150,7 +150,7 @@
 		}
 		if (least == i)
 			return first;
-		swap(&netsim->events[i], &netsim->events[least]);
+		swap_events(&netsim->events[i], &netsim->events[least]);
 		i = least;
 	}
 }
@@ -256,7 +256,7 @@
 	event.from = pimento_id(host_names[from]);
 	event.message = malloc(size);
 	memcpy(event.message, message, size);
-	push(netsim, &event);
+	push_event(netsim, &event);
 }
 
 static void send_message(netsim_t *netsim, uint32_t from,
@@ -289,7 +289,7 @@
 	event.due = netsim->now + link_delay(netsim);
 	event.incarnation = netsim->sim_hosts[host].incarnation;
 	event.action = *action;
-	push(netsim, &event);
+	push_event(netsim, &event);
 }
 
 static void schedule_end(netsim_t *netsim, const netsim_event_t *connect,
@@ -300,7 +300,7 @@
 	event.kind = NETSIM_EVENT_END;
 	event.due = due;
 	event.outcome = outcome;
-	push(netsim, &event);
+	push_event(netsim, &event);
 }
 
 static void record_answer(netsim_t *netsim, uint32_t host,
@@ -309,7 +309,7 @@
 	tracked_request_t *tracked =
 		find_tracked_by_handle(netsim, host, handle);
 
-	if (!tracked || tracked->caller_gone)
+	if (!tracked || tracked->caller_disconnected)
 		return;
 	if (tracked->answered)
 		report_violation(netsim, "a request was answered twice",
@@ -386,7 +386,7 @@
 }
 
 /* The bytes left: from here the endpoint runs the request, come what may. */
-static void commit(netsim_t *netsim, const netsim_event_t *event)
+static void commit_exchange(netsim_t *netsim, const netsim_event_t *event)
 {
 	pimento_handle_t handle = event->action.request;
 	uint32_t attempt = attempt_of(netsim, event->host, handle);
@@ -440,7 +440,7 @@
 		schedule_end(netsim, event, netsim->now,
 			     PIMENTO_EVENT_UNREACHABLE);
 	else if (event->action.kind == PIMENTO_ACTION_DISPATCH)
-		commit(netsim, event);
+		commit_exchange(netsim, event);
 	else
 		resume_stream(netsim, event);
 }
@@ -460,7 +460,7 @@
 			   event->action.request, &outcome);
 }
 
-static void on_leave(netsim_t *netsim, const netsim_event_t *event)
+static void on_caller_leave(netsim_t *netsim, const netsim_event_t *event)
 {
 	pimento_event_t outcome = { .kind = PIMENTO_EVENT_CALLER_DISCONNECTED };
 	tracked_request_t *tracked =
@@ -471,7 +471,7 @@
 	pimento_host_event(netsim->sim_hosts[event->host].host, netsim->now,
 			   event->handle, &outcome);
 	tracked->answered = true;
-	tracked->caller_gone = true;
+	tracked->caller_disconnected = true;
 }
 
 static void handle_event(netsim_t *netsim, netsim_event_t *event)
@@ -481,7 +481,7 @@
 	if (sim_host->host && sim_host->paused_until > netsim->now) {
 		event->due = sim_host->paused_until +
 			     (pimento_usec_t)random_below(netsim, 1000);
-		push(netsim, event);
+		push_event(netsim, event);
 		return;
 	}
 	if (event->kind == NETSIM_EVENT_MESSAGE) {
@@ -496,7 +496,7 @@
 		else if (event->kind == NETSIM_EVENT_END)
 			on_end(netsim, event);
 		else
-			on_leave(netsim, event);
+			on_caller_leave(netsim, event);
 	}
 	if (sim_host->host)
 		run_actions(netsim, event->host);
@@ -650,7 +650,7 @@
 						  netsim, 300 * PIMENTO_MSEC);
 		leave.incarnation = sim_host->incarnation;
 		leave.handle = handle;
-		push(netsim, &leave);
+		push_event(netsim, &leave);
 	}
 }
 
@@ -697,7 +697,7 @@
 	netsim->now = next_time(netsim);
 	while (netsim->event_count && netsim->events[0].due <= netsim->now &&
 	       !*netsim->violation) {
-		netsim_event_t event = pop(netsim);
+		netsim_event_t event = pop_event(netsim);
 
 		handle_event(netsim, &event);
 	}
--- a/test/netsim.h
+++ b/test/netsim.h
@@ -1,5 +1,5 @@
-#ifndef WORLD_H
-#define WORLD_H
+#ifndef NETSIM_H
+#define NETSIM_H
 
 /*
  * A few pure hosts in virtual time, with fakes of links, endpoints and
--- a/test/test_gossip.c
+++ b/test/test_gossip.c
@@ -16,7 +16,7 @@
 #define ENDPOINTS 200
 
 /* What each host was observed to hold of each other's leaving. */
-typedef struct observed {
+typedef struct observation {
 	uint64_t observer;
 	uint64_t incarnation;
 	bool leaving;
--- a/test/test_host_random.c
+++ b/test/test_host_random.c
@@ -1,7 +1,7 @@
 /*
  * Whole hosts under random faults, in virtual time. Each seed is one schedule
  * of messages lost, duplicated, late and out of order, hosts killed, paused and
- * partition off, connections refused and broken, callers who leave. What must hold
+ * partition off, connections refused and violation, callers who leave. What must hold
  * is checked at every step by netsim.c.
  *
  *	SEED=n build/test/test_host_random	repeats one schedule
@@ -80,21 +80,22 @@
 	       c->duplicated, c->crashes, c->pauses, c->partitions);
 }
 
-static void run_seed(size_t kind, uint64_t seed, netsim_counts_t *total)
+static void run_seed(size_t scenario, uint64_t seed, netsim_counts_t *total)
 {
-	netsim_t *netsim = netsim_new(seed, &scenarios[kind].faults,
-				      scenarios[kind].keyed_share);
-	char broken[256] = "";
+	netsim_t *netsim = netsim_new(seed, &scenarios[scenario].faults,
+				      scenarios[scenario].keyed_share);
+	char violation[256] = "";
 
 	ck_assert_ptr_nonnull(netsim);
 	netsim_run(netsim, FAULT_SPAN);
 	add_counts(total, netsim_counts(netsim));
 	if (netsim_violation(netsim))
-		snprintf(broken, sizeof(broken), "%s",
+		snprintf(violation, sizeof(violation), "%s",
 			 netsim_violation(netsim));
 	netsim_free(netsim);
-	ck_assert_msg(!*broken, "%s: %s; SEED=%" PRIu64 " KIND=%zu repeats it",
-		      scenarios[kind].name, broken, seed, kind);
+	ck_assert_msg(!*violation,
+		      "%s: %s; SEED=%" PRIu64 " KIND=%zu repeats it",
+		      scenarios[scenario].name, violation, seed, scenario);
 }
 
 /*
@@ -104,16 +105,17 @@
  */
 START_TEST(no_duplicate_or_misreported_dispatch_under_faults)
 {
-	const char *one = getenv("SEED");
-	const char *kind = getenv("KIND");
-	const char *many = getenv("SEEDS");
-	uint64_t seeds = many ? strtoull(many, NULL, 10) : SEEDS_DEFAULT;
+	const char *seed_text = getenv("SEED");
+	const char *scenario = getenv("KIND");
+	const char *seeds_text = getenv("SEEDS");
+	uint64_t seeds =
+		seeds_text ? strtoull(seeds_text, NULL, 10) : SEEDS_DEFAULT;
 	netsim_counts_t total = { 0 };
 
-	if (kind && strtoull(kind, NULL, 10) != (unsigned)_i)
+	if (scenario && strtoull(scenario, NULL, 10) != (unsigned)_i)
 		return;
-	if (one) {
-		run_seed((size_t)_i, strtoull(one, NULL, 10), &total);
+	if (seed_text) {
+		run_seed((size_t)_i, strtoull(seed_text, NULL, 10), &total);
 		return;
 	}
 	for (uint64_t seed = 1; seed <= seeds; seed++)
