--- a/src/base.c
+++ b/src/base.c
@@ -1,6 +1,6 @@
 /*
- * Names, identities, error strings and the seeded generator: what every other
- * file of the library uses.
+ * Basic functions used throughout the library: identities, names of verdicts
+ * and errors, request ids and the seeded random generator.
  */
 
 #include "../pimentoshelf.h"
--- a/src/entry.c
+++ b/src/entry.c
@@ -1,7 +1,8 @@
 /*
- * The table of requests in progress. A handle is a slot's index and how often
- * the slot was used, so that a late event never reaches a later request; the
- * same number is the low half of the request's id.
+ * The table of requests in progress. A handle consists of the index of a table
+ * entry and a generation that counts the uses of that entry, so that an event
+ * of an ended request never reaches a later one. The handle is also the low
+ * half of the request's id.
  */
 
 #include "entry_internal.h"
@@ -10,15 +11,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Between two renewals of a slot's lease at its owner. */
+/* Interval between renewals of a slot's lease at its owner. */
 #define PROGRESS_PERIOD OWNER_PROGRESS_INTERVAL
-/* A broken stream is resumed this often, with growing delays. */
+/* A broken stream is resumed at most this often, with increasing delays. */
 #define RESUMES_MAX 40
 #define RESUME_DELAY_STEP (50 * PIMENTO_MSEC)
 #define RESUME_DELAY_MAX PIMENTO_SEC
-/* Resuming goes on this long after the caller's patience. */
+/* A stream may be resumed until this long after the request's deadline. */
 #define RESUME_GRACE (5 * PIMENTO_SEC)
-/* Retries: a tenth of the requests, and a few to begin with. */
+/*
+ * Retry budget: each accepted request adds 0.1 of a retry, up to 10, so that
+ * retries cannot multiply the load on endpoints that are failing.
+ */
 #define RETRY_BUDGET_RATIO 0.1
 #define RETRY_BUDGET_MAX 10.0
 #define ACTIONS_CAPACITY_MIN 64
@@ -80,7 +84,7 @@
 {
 	uint32_t at;
 
-	/* At most a few actions per request are due, so this stays small. */
+	/* A request has at most a few actions pending, so the ring stays small. */
 	if (table->action_count == table->action_capacity &&
 	    grow_actions(table))
 		abort();
@@ -131,7 +135,7 @@
 		table->next_wake = at;
 }
 
-/* True while the claim still has something to tell to a witness. */
+/* Returns true while a claim has a seal or an outcome to send to witnesses. */
 static bool claim_is_notifying(const claim_t *claim)
 {
 	return claim && (claim->state == CLAIM_SEALING ||
@@ -141,9 +145,10 @@
 
 /*
  * The caller has its answer, but a witness may have missed the seal or the
- * outcome. Were it not told again, it would go on holding a claim that never
- * won, and with another witness gone the key would be closed for the retention.
- * So the entry stays until its claim has ended, which is one step at most.
+ * outcome. Unless these are sent again, the witness would keep holding a claim
+ * that never won, and if another witness fails, the key would be unusable for
+ * its retention period. So the entry is kept until its claim has ended, which
+ * takes one step of the claim protocol at most.
  */
 void entry_free(entry_table_t *table, entry_t *entry)
 {
@@ -160,7 +165,7 @@
 	table->active--;
 }
 
-/* Ends a request that needs no further answer from here. */
+/* Ends a request whose caller needs no further answer from this host. */
 static void finish_request(entry_table_t *table, entry_t *entry)
 {
 	pimento_action_t action = { .kind = PIMENTO_ACTION_END };
@@ -286,9 +291,9 @@
 	if (!entry || entry->state != ENTRY_CONNECTING)
 		return PIMENTO_ESTALE;
 	/*
-	 * A process that was paused between grant and dispatch wakes here and
-	 * would send a request that nobody waits for, into a slot that has
-	 * been given away. The connection is closed without a byte instead.
+	 * A process that was paused between grant and dispatch continues here.
+	 * It must not send: the caller may have timed out, and the owner may
+	 * have granted the slot to another request.
 	 */
 	if (now >= entry->deadline || now >= entry->grant_expires_at) {
 		entry_release(table, entry, RELEASE_UNUSED);
@@ -344,7 +349,7 @@
 		entry_send_progress(table, now, entry);
 }
 
-/* Nothing left this process: the request may go elsewhere, within budget. */
+/* Nothing was sent, so another endpoint is tried while the budget allows. */
 static void on_unreachable(entry_table_t *table, pimento_usec_t now,
 			   entry_t *entry)
 {
@@ -371,8 +376,9 @@
 }
 
 /*
- * An answer that came as one piece shows no first token. A service's span is
- * all there is to know of it; an engine's is taken as the making of tokens.
+ * An answer that came in one piece has no time to first token. For a service
+ * the span to the complete answer is used instead; for a model engine the whole
+ * span is counted as decode time.
  */
 static void record_unstreamed_answer(pimento_usec_t now, entry_t *entry,
 				     const pimento_event_t *event)
@@ -387,7 +393,7 @@
 	entry->last_token_at = now;
 }
 
-/* The witnesses keep how it ended, so that a repeat gets the same answer. */
+/* Stores the outcome at the key's witnesses, to be replayed to a retry. */
 static void report_outcome(entry_table_t *table, pimento_usec_t now,
 			   entry_t *entry, const pimento_event_t *event)
 {
@@ -431,9 +437,9 @@
 }
 
 /*
- * The connection broke after the commit. An engine goes on by itself and its
- * stream can be resumed; a plain service cannot be asked, so the verdict is
- * "may have run" and the caller is told so at once.
+ * The connection broke after the commit. A model engine continues to generate,
+ * and its stream can be resumed. A plain service cannot be queried, so the
+ * request is refused at once with the verdict "may have run".
  */
 static void on_connection_lost(entry_table_t *table, pimento_usec_t now,
 			       entry_t *entry)
@@ -457,9 +463,9 @@
 }
 
 /*
- * The endpoint does not know the stream. For our own dispatch that means it
- * was lost there. For another's, the claimant may be just about to dispatch:
- * the witnesses are asked again until the caller stops caring.
+ * The endpoint has no such stream. If this request dispatched it, the endpoint
+ * has lost it. If another request with the same key claimed it, that one may be
+ * about to dispatch: the witnesses are queried again until the deadline.
  */
 static void on_stream_unknown(entry_table_t *table, pimento_usec_t now,
 			      entry_t *entry)
@@ -477,9 +483,9 @@
 }
 
 /*
- * The caller left. Before the dispatch the request simply ends. After it, an
- * unkeyed stream is cancelled, for nobody can ever ask for it; a keyed one
- * goes on, because a repeat will come for the answer.
+ * The caller disconnected. Before the dispatch the request ends. After it, a
+ * stream without a key is cancelled, as no one can retrieve the answer; one
+ * with a key continues, because a retry with that key may ask for the answer.
  */
 static void on_caller_disconnected(entry_table_t *table, pimento_usec_t now,
 				   entry_t *entry)
@@ -564,7 +570,7 @@
 	entry_schedule(table, entry, now + PROGRESS_PERIOD);
 }
 
-/* The reservation and the claim's query go on side by side. */
+/* The reservation and the query of the key's claim run in parallel. */
 static void tick_reserving(entry_table_t *table, pimento_usec_t now,
 			   entry_t *entry)
 {
@@ -592,7 +598,7 @@
 		entry_claim_tick(table, now, entry);
 		return;
 	case ENTRY_CONNECTING:
-		/* The commit decides; it will find the deadline passed. */
+		/* entry_commit() will refuse to send after the deadline. */
 		entry_schedule(table, entry, now + PROGRESS_PERIOD);
 		return;
 	case ENTRY_DISPATCHED:
--- a/src/entry.h
+++ b/src/entry.h
@@ -2,8 +2,9 @@
 #define ENTRY_H
 
 /*
- * The entry's side of requests: from arrival through reservation, claim and
- * dispatch to the verdict. Only the entry that holds a request dispatches it.
+ * The table of requests that this host accepted from callers. It takes each one
+ * from arrival through reservation of a slot, claim of its idempotency key and
+ * dispatch to the verdict. Only the host that accepted a request dispatches it.
  */
 
 #include "claim.h"
@@ -13,9 +14,10 @@
 /*
  *	RESERVING -> WAITING -> CLAIMING -> CONNECTING -> DISPATCHED -> free
  *
- * CLAIMING only with a key. RESERVING to CONNECTING may go back to RESERVING
- * (nothing has left this process) or to SEALING (giving up with a key). The
- * step to DISPATCHED is one-way. FOLLOWING hands over the answer of another
+ * CLAIMING occurs only with an idempotency key. The states from RESERVING to
+ * CONNECTING may return to RESERVING, as nothing has been sent to an endpoint,
+ * or go to SEALING, to abandon a request with a key. The step to DISPATCHED is
+ * irrevocable. RESUMING reads a stream that broke, or the answer of another
  * dispatch with the same key.
  */
 typedef enum entry_state {
@@ -26,9 +28,10 @@
 	ENTRY_CONNECTING,
 	ENTRY_DISPATCHED,
 	ENTRY_RESUMING,
-	ENTRY_QUERYING_OUTCOME, /* another dispatch's outcome, at the witnesses */
-	ENTRY_SEALING,
-	ENTRY_CLOSING, /* answered; the witnesses are still being told */
+	ENTRY_QUERYING_OUTCOME, /* asking the key's witnesses for the outcome of
+				   another dispatch with the same key */
+	ENTRY_SEALING, /* making "not run" certain at the key's witnesses */
+	ENTRY_CLOSING, /* answered; the key's witnesses are being informed */
 	ENTRY_STATE_COUNT
 } entry_state_t;
 
@@ -36,41 +39,42 @@
 	entry_state_t state;
 	uint32_t generation;
 	pimento_reqid_t id;
-	pimento_request_t request; /* its key pointer is not kept */
+	pimento_request_t request; /* with key set to NULL */
 	pimento_usec_t arrived_at;
 	pimento_usec_t deadline;
-	pimento_usec_t wake_at;
-	pimento_usec_t reserve_due; /* reservation: when to look again */
-	/* reservation */
-	uint32_t round;
+	pimento_usec_t wake_at; /* next time-out of the entry */
+	pimento_usec_t reserve_due; /* next time-out of the reservation */
+	/* Reservation of a slot at an endpoint, made with the endpoint's owner. */
+	uint32_t round; /* number of the reservation, from 1 */
 	pimento_id_t endpoint;
-	pimento_id_t owner; /* 0: no place or slot is held */
-	uint8_t hops;
-	uint64_t epoch;
-	pimento_usec_t requested_at; /* when the owner was last asked */
-	pimento_usec_t last_reply_at; /* when it last answered; 0 never */
+	pimento_id_t owner; /* 0: neither a reservation nor a slot is held */
+	uint8_t hops; /* owners tried before, or an OWNER_HOPS_* value */
+	uint64_t epoch; /* of the ownership that granted the slot */
+	pimento_usec_t requested_at; /* last request to the owner; while
+					RESUMING: set until the retry is sent */
+	pimento_usec_t last_reply_at; /* last reply of the owner; 0: none */
 	pimento_usec_t grant_expires_at; /* 0: no grant is held */
-	route_retry_t retry; /* what owners said no so far */
-	uint32_t owner_changes; /* times that the owner had changed */
-	pimento_usec_t
-		unreachable_since; /* since when no endpoint was; 0 never */
-	uint32_t resends; /* of one unanswered reservation */
-	pimento_usec_t retry_after;
-	/* dispatch */
+	route_retry_t retry; /* refusals of the request by owners */
+	uint32_t owner_changes; /* refusals because the owner had changed */
+	pimento_usec_t unreachable_since; /* when no endpoint could be reached
+					     for the first time; 0: never */
+	uint32_t resends; /* repeats of the unanswered reservation */
+	pimento_usec_t retry_after; /* span to report if the request fails */
+	/* Dispatch to the endpoint. */
 	pimento_usec_t sent_at;
-	pimento_usec_t first_token_at;
+	pimento_usec_t first_token_at; /* 0: none has arrived */
 	pimento_usec_t last_token_at;
-	pimento_usec_t
-		unstreamed_span; /* span of an answer in one piece; 0 none */
-	pimento_usec_t
-		progress_sent_at; /* when the owner was last told of progress */
-	uint32_t tokens;
-	uint32_t resumes;
-	bool caller_disconnected; /* the caller left */
-	/* key */
+	pimento_usec_t unstreamed_span; /* from dispatch to a model's answer
+					   that came in one piece; 0: none */
+	pimento_usec_t progress_sent_at; /* last progress report to the owner */
+	uint32_t tokens; /* tokens of the answer so far */
+	uint32_t resumes; /* times that the stream was resumed */
+	bool caller_disconnected;
+	/* Idempotency key of the request. */
 	claim_t *claim; /* NULL without a key */
 	pimento_key_t key;
-	int seal_error; /* error that SEALING ends in */
+	int seal_error; /* error to report when SEALING ends */
+	/* Stream to read in RESUMING. */
 	pimento_id_t resume_endpoint;
 	pimento_reqid_t resume_stream;
 } entry_t;
@@ -81,16 +85,16 @@
 	uint32_t requests_max;
 } entry_options_t;
 
-/* Counters of what became of requests, for metrics. */
+/* Counters of request outcomes, for metrics. */
 typedef struct entry_counters {
 	uint64_t accepted;
 	uint64_t dispatched;
 	uint64_t done;
-	uint64_t refused[3]; /* by verdict */
+	uint64_t refused[3]; /* indexed by pimento_verdict_t */
 	uint64_t retried;
 	uint64_t resumed;
 	uint64_t replayed;
-	uint64_t callers_left;
+	uint64_t callers_left; /* callers that disconnected */
 } entry_counters_t;
 
 typedef struct entry_table {
@@ -102,47 +106,59 @@
 	uint32_t *free_list;
 	uint32_t free_count;
 	uint32_t active;
-	uint32_t high_water; /* entries beyond were never used */
+	uint32_t high_water; /* entries from this index on were never used */
 	uint64_t next_id;
-	uint64_t next_sequence;
-	double retry_budget; /* retries that may still be spent */
-	pimento_usec_t next_wake;
-	pimento_action_t *actions; /* ring */
+	uint64_t next_sequence; /* next free number for claim messages */
+	double retry_budget; /* retries of requests available now */
+	pimento_usec_t next_wake; /* earliest wake_at of all entries */
+	pimento_action_t *actions; /* ring buffer of actions to perform */
 	uint32_t action_head;
 	uint32_t action_count;
 	uint32_t action_capacity;
 	entry_counters_t counters;
 } entry_table_t;
 
-/* route, membership and out are borrowed. Returns 0 or PIMENTO_ENOMEM. */
+/*
+ * route, membership and out are borrowed and must outlive the table. Returns 0
+ * or PIMENTO_ENOMEM.
+ */
 int entry_init(entry_table_t *table, const entry_options_t *options,
 	       route_t *route, membership_t *membership, outbox_t *out);
 void entry_finish(entry_table_t *table);
 
 /*
- * Takes a request on. witnesses is NULL without a key. Returns 0,
- * PIMENTO_EFULL or PIMENTO_ENOMEM.
+ * Accepts a request and starts to reserve a slot for it. witnesses is NULL for
+ * a request without a key; age is the key's age, or CLAIM_AGE_UNKNOWN. Returns
+ * 0, PIMENTO_EFULL or PIMENTO_ENOMEM, or PIMENTO_EINVAL for unusable witnesses.
  */
 int entry_submit(entry_table_t *table, pimento_usec_t now,
 		 const pimento_request_t *request, pimento_key_t key,
 		 const witness_set_t *witnesses, pimento_usec_t age,
 		 pimento_handle_t *handle, pimento_reqid_t *id);
 
+/* See pimento_host_commit(). */
 int entry_commit(entry_table_t *table, pimento_usec_t now,
 		 pimento_handle_t handle);
+/* See pimento_host_event(). */
 void entry_event(entry_table_t *table, pimento_usec_t now,
 		 pimento_handle_t handle, const pimento_event_t *event);
 
-/* MESSAGE_GRANT, _WAIT, _REFUSE, _WITNESS; others give PIMENTO_EINVAL. */
+/*
+ * Processes MESSAGE_GRANT, _WAIT, _REFUSE and _WITNESS. Returns 0, or
+ * PIMENTO_EINVAL for another kind of message.
+ */
 int entry_receive(entry_table_t *table, pimento_usec_t now, pimento_id_t from,
 		  const message_t *message);
 
-/* Hosts or owners changed: reservations at the wrong owner move at once. */
+/*
+ * To be called after a change of hosts or owners. Moves reservations to the new
+ * owners of their endpoints, and reports slots in use to them.
+ */
 void entry_owners_changed(entry_table_t *table, pimento_usec_t now);
 
 void entry_tick(entry_table_t *table, pimento_usec_t now);
 
-/* Takes the next action; false when there is none. */
+/* Removes the next action from the queue; false if the queue is empty. */
 bool entry_next_action(entry_table_t *table, pimento_action_t *action);
 
 #endif
--- a/src/entry_claim.c
+++ b/src/entry_claim.c
@@ -1,7 +1,7 @@
 /*
- * The part of a request's life that its idempotency key rules: no dispatch
- * before the claim is won, no "not run" before the attempt is sealed, and the
- * answer of an earlier dispatch instead of a second one.
+ * Requests with an idempotency key: no dispatch before the claim of the key is
+ * won, no "not run" before the attempt is sealed, and instead of a second
+ * dispatch the answer of the earlier one.
  */
 
 #include "entry_internal.h"
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How often the outcome of another's dispatch is asked for. */
+/* Interval of queries for the outcome of another dispatch with the same key. */
 #define OUTCOME_QUERY_PERIOD (200 * PIMENTO_MSEC)
 #define RETRY_AFTER_DEFAULT PIMENTO_SEC
 
@@ -60,9 +60,9 @@
 		return;
 	}
 	/*
-	 * Taken before, for an endpoint that could not be reached: the claim
-	 * stays ours and only names another record. If the query is still out,
-	 * its event comes back here.
+	 * In CLAIM_TAKEN the claim was won for an endpoint that could not be
+	 * reached; it is kept and only the endpoint in it changes. While the
+	 * query is unanswered, on_claim_free() requests the claim later.
 	 */
 	if (entry->claim->state == CLAIM_AVAILABLE ||
 	    entry->claim->state == CLAIM_TAKEN)
@@ -90,9 +90,9 @@
 }
 
 /*
- * Another call with the same key holds the claim. It may have died before its
- * dispatch, but that cannot be known here, so nothing is ever dispatched
- * again: the caller gets that dispatch's answer, or "may have run".
+ * Another request with the same key holds the claim. Its host may have crashed
+ * before the dispatch, but that cannot be known here, so this request is never
+ * dispatched: the caller gets the other dispatch's answer, or "may have run".
  */
 static void on_claim_held(entry_table_t *table, pimento_usec_t now,
 			  entry_t *entry)
@@ -171,7 +171,7 @@
 		return;
 	case CLAIM_MISMATCH:
 		entry_release(table, entry, RELEASE_UNUSED);
-		/* Only a known outcome shows which body has run. */
+		/* Which body has run is certain only once the outcome is known. */
 		entry_refuse(table, entry,
 			     entry->claim->held.done ? PIMENTO_NOT_RUN
 						     : PIMENTO_MAY_HAVE_RUN,
@@ -193,7 +193,7 @@
 	}
 }
 
-/* Asks the witnesses once more how another's dispatch ended. */
+/* Queries the key's witnesses again for the outcome of another dispatch. */
 static void requery_outcome(entry_table_t *table, pimento_usec_t now,
 			    entry_t *entry)
 {
@@ -206,7 +206,7 @@
 	}
 	if (age != CLAIM_AGE_UNKNOWN)
 		age += now - entry->arrived_at;
-	/* The attempt stays: "not run" may be said of it by somebody else. */
+	/* Keep the attempt: another host may have reported it as "not run". */
 	entry->request.attempt = entry->claim->attempt;
 	entry_start_claim(table, now, entry, &witnesses, age);
 	entry_schedule(table, entry, claim_deadline(entry->claim));
--- a/src/entry_internal.h
+++ b/src/entry_internal.h
@@ -2,69 +2,80 @@
 #define ENTRY_INTERNAL_H
 
 /*
- * Steps of a request that entry.c, entry_reserve.c and entry_claim.c share.
- * Nothing outside these three files uses them.
+ * Steps in the life of a request, shared by entry.c, entry_reserve.c and
+ * entry_claim.c. No other file uses them.
  */
 
 #include "entry.h"
 
-/* Puts an action into the ring. */
+/* Appends an action to the ring buffer; aborts the process without memory. */
 void entry_queue_action(entry_table_t *table, const pimento_action_t *action);
 
-/* The entry of a handle; NULL if it ended. */
+/* Returns the entry of a handle, or NULL if its request was answered. */
 entry_t *entry_find(entry_table_t *table, pimento_handle_t handle);
 pimento_handle_t entry_handle(const entry_table_t *table, const entry_t *entry);
 
-/* Sets when the entry is looked at next. */
+/* Sets the next time-out of an entry; a query of its claim may be due earlier. */
 void entry_schedule(entry_table_t *table, entry_t *entry, pimento_usec_t at);
 
-/* Ends the request: its one final answer. */
+/* Ends a request with its final answer, an error, and frees the entry. */
 void entry_refuse(entry_table_t *table, entry_t *entry,
 		  pimento_verdict_t verdict, int error,
 		  pimento_usec_t retry_after);
 
-/* Frees the entry without an answer. */
+/* Frees an entry, once its claim has nothing more to report to witnesses. */
 void entry_free(entry_table_t *table, entry_t *entry);
 
-/* Emits FOLLOW for resume_endpoint and resume_stream. */
+/* Queues a RESUME action for the stream resume_stream at resume_endpoint. */
 void entry_resume(entry_table_t *table, entry_t *entry);
 
-/* Picks an endpoint and asks its owner for a place; else gives up. */
+/*
+ * Picks an endpoint and requests a slot from its owner. If no endpoint is
+ * suitable the request is abandoned.
+ */
 void entry_reserve(entry_table_t *table, pimento_usec_t now, entry_t *entry);
 
-/* The endpoint or its owner cannot be reached: goes elsewhere. */
+/*
+ * Reserves at another endpoint, because the present one or its owner cannot be
+ * reached; without another, at the same one again after a delay.
+ */
 void entry_reroute(entry_table_t *table, pimento_usec_t now, entry_t *entry);
 
-/* Renews the slot's lease and tells how far the answer is. */
+/* Renews the slot's lease at its owner and reports the answer's progress. */
 void entry_send_progress(entry_table_t *table, pimento_usec_t now,
 			 entry_t *entry);
 
-/* Tells the owner that the reservation or slot is no longer needed. */
+/* Releases the reservation or slot at its owner. */
 void entry_release(entry_table_t *table, entry_t *entry,
 		   release_outcome_t outcome);
 
-/* Repeats or abandons an unanswered reservation. */
+/* Handles a time-out of a reservation: repeats, renews, moves or ends it. */
 void entry_reserve_tick(entry_table_t *table, pimento_usec_t now,
 			entry_t *entry);
 
 /*
- * Gives up before any dispatch. Without a key "not run" is known at once; with
- * one it is true only once the attempt is sealed.
+ * Abandons a request that was not dispatched. Without a key it is refused as
+ * "not run" at once; with one only after the attempt is sealed at the witnesses,
+ * for until then another entry host may dispatch the same key.
  */
 void entry_abort(entry_table_t *table, pimento_usec_t now, entry_t *entry,
 		 int error, pimento_usec_t retry_after);
 
-/* The grant is here: dispatch, or take the claim first. */
+/* Continues after a grant: with the dispatch, or the claim of the key first. */
 void entry_on_grant(entry_table_t *table, pimento_usec_t now, entry_t *entry);
 
-/* What the claim protocol found out. */
+/* Continues after an event of the claim protocol. */
 void entry_on_claim_event(entry_table_t *table, pimento_usec_t now,
 			  entry_t *entry, claim_event_t event);
 
-/* Begins the claim protocol anew, with a query. Returns 0 or an error. */
+/*
+ * Starts, or restarts, the claim protocol with a query to the key's witnesses.
+ * Returns 0, PIMENTO_ENOMEM or PIMENTO_EINVAL.
+ */
 int entry_start_claim(entry_table_t *table, pimento_usec_t now, entry_t *entry,
 		      const witness_set_t *witnesses, pimento_usec_t age);
 
+/* Handles a time-out of the claim protocol. */
 void entry_claim_tick(entry_table_t *table, pimento_usec_t now, entry_t *entry);
 
 #endif
--- a/src/entry_reserve.c
+++ b/src/entry_reserve.c
@@ -1,27 +1,34 @@
 /*
- * Finding a place for a request: pick the endpoint that should finish first,
- * ask its owner, go elsewhere when refused. Nothing here lets a byte of the
- * request out, so each step may be undone and "not run" stays known.
+ * Reserving a slot for a request: pick the endpoint that is expected to finish
+ * first, request a slot from its owner, and try another endpoint if refused.
+ * Nothing here sends the request to an endpoint, so every step can be undone
+ * and the request is still known not to have run.
  */
 
 #include "entry_internal.h"
 
 #include <string.h>
 
-/* An owner answers within a round trip; this is many of them. */
+/* An owner replies within one round trip between hosts; this allows for many. */
 #define RESERVE_TIMEOUT (150 * PIMENTO_MSEC)
 #define RESERVE_RESENDS_MAX 2
-/* How often a waiting reservation is renewed, and when silence means loss. */
+/*
+ * Interval of renewals of a queued reservation, and the time without a reply
+ * after which its owner is considered lost.
+ */
 #define RENEW_PERIOD PIMENTO_SEC
 #define RENEW_TIMEOUT (3 * PIMENTO_SEC)
-/* A wrong owner means that a change of hosts is still spreading. */
+/*
+ * Delay after a host refused because it does not own the endpoint: a change of
+ * membership has not reached every host yet.
+ */
 #define STALE_OWNER_RETRY_DELAY (40 * PIMENTO_MSEC)
-/* Between two questions when every owner is since_last_reply. */
+/* Retry delay, and limit, while no endpoint or no owner can be reached. */
 #define UNREACHABLE_RETRY_DELAY (150 * PIMENTO_MSEC)
 #define UNREACHABLE_WAIT_MAX (3 * PIMENTO_SEC)
 #define OWNER_CHANGES_MAX 50
 
-/* A query of the claim may be due earlier; both are kept. */
+/* Sets the reservation's time-out; the key's claim keeps one of its own. */
 static void schedule_reserve(entry_table_t *table, entry_t *entry,
 			     pimento_usec_t at)
 {
@@ -83,8 +90,8 @@
 }
 
 /*
- * No endpoint can be reached just now. A restart of one takes about this long,
- * and an urgent request is worth waiting for it; after that the caller is told.
+ * No endpoint can be reached now. A restart of an endpoint takes about
+ * UNREACHABLE_WAIT_MAX, so the request waits that long before it is refused.
  */
 static bool wait_for_reachable(entry_table_t *table, pimento_usec_t now,
 			       entry_t *entry)
@@ -121,7 +128,7 @@
 	entry_abort(table, now, entry, error, entry->retry.retry_after);
 }
 
-/* The endpoint's owner said no: route.c knows who is left to be asked. */
+/* An owner refused the reservation: route.c selects the next one to try. */
 static void reserve_after_refusal(entry_table_t *table, pimento_usec_t now,
 				  entry_t *entry,
 				  const message_refuse_t *refuse)
@@ -143,10 +150,10 @@
 }
 
 /*
- * Silence says nothing of an endpoint's capacity, only that its owner is dead,
- * cut off or slow. Another endpoint is taken if there is one; else the same is
- * asked again, for by then the hosts have found it another owner. An urgent
- * charge is not refused because one of our hosts died.
+ * A missing reply says nothing about the endpoint's capacity, only that its
+ * owner is dead, partitioned or slow. Without another endpoint the same one is
+ * tried again after a delay, in which the hosts assign it a new owner: the
+ * failure of one host must not cause an urgent request to be refused.
  */
 void entry_reroute(entry_table_t *table, pimento_usec_t now, entry_t *entry)
 {
@@ -197,7 +204,10 @@
 	entry->grant_expires_at = 0;
 }
 
-/* A grant waits here for the query of its claim; it may outlive the grant. */
+/*
+ * Holds a grant while the query of the key's claim is unanswered. If the grant
+ * expires first, the slot is released and reserved again.
+ */
 static void hold_grant(entry_table_t *table, pimento_usec_t now, entry_t *entry)
 {
 	if (now < entry->grant_expires_at) {
@@ -242,15 +252,15 @@
 		return;
 	}
 	/*
-	 * The owner is since_last_reply: dead, cut off or paused. It has not dispatched
-	 * anything, so the request goes elsewhere without doubt; a grant that
-	 * still comes is of an old round and is given back.
+	 * The owner does not reply: it is dead, partitioned or paused. Owners
+	 * never dispatch, so the request can safely go to another endpoint. A
+	 * grant that arrives later is of an old round and will be released.
 	 */
 	entry_release(table, entry, RELEASE_UNUSED);
 	entry_reroute(table, now, entry);
 }
 
-/* Gives back a grant that nobody waits for any more. */
+/* Releases a grant for a reservation that was superseded or has ended. */
 static void release_stale_grant(entry_table_t *table, pimento_id_t from,
 				const message_grant_t *grant)
 {
@@ -264,7 +274,7 @@
 	outbox_put(table->out, from, &message);
 }
 
-/* The entry that waits for this owner's answer of this round, else NULL. */
+/* Returns the entry that awaits this owner's reply in this round, or NULL. */
 static entry_t *find_waiting_entry(entry_table_t *table, pimento_id_t from,
 				   pimento_reqid_t id, uint32_t round)
 {
@@ -293,7 +303,7 @@
 		entry_on_grant(table, now, entry);
 		return;
 	}
-	/* A grant said twice is held already; only a stale one goes back. */
+	/* A duplicate of the grant in use is ignored; a stale one is released. */
 	if (current && current->round == grant->round &&
 	    current->owner == from &&
 	    grant->request.hi == table->options.incarnation)
@@ -335,7 +345,10 @@
 	reserve_after_refusal(table, now, entry, refuse);
 }
 
-/* The witness's answer goes to the entry that asked; sequences are unique. */
+/*
+ * Passes a witness's reply to the entries with that key; the sequence number,
+ * unique in this host, tells each claim whether the reply is for it.
+ */
 static void handle_witness(entry_table_t *table, pimento_usec_t now,
 			   pimento_id_t from, const message_witness_t *witness)
 {
@@ -382,7 +395,7 @@
 	}
 }
 
-/* A dispatch goes on; only the new owner must learn that its slot is used. */
+/* Reports a slot in use to the endpoint's new owner; the dispatch continues. */
 static void move_slot(entry_table_t *table, pimento_usec_t now, entry_t *entry,
 		      pimento_id_t owner)
 {
@@ -392,7 +405,7 @@
 	entry_send_progress(table, now, entry);
 }
 
-/* Nothing has left this process, so the place is taken at the new owner. */
+/* Nothing was sent to the endpoint, so the slot is reserved anew. */
 static void move_reservation(entry_table_t *table, pimento_usec_t now,
 			     entry_t *entry, pimento_id_t owner)
 {
--- a/src/host.c
+++ b/src/host.c
@@ -1,7 +1,7 @@
 /*
- * Puts the parts of one entry host together: hands each message to the part it
- * is for, loops messages to itself back, takes over published texts, and gives
- * each endpoint to the owner that the hosts in sight agree on.
+ * Combines the modules of one entry host: passes each message to the module it
+ * is for, delivers messages to itself, puts published texts into force, and
+ * assigns each endpoint to an owner among the live hosts.
  */
 
 #include "host.h"
@@ -11,15 +11,15 @@
 #include <string.h>
 
 #define OUTBOX_CAPACITY 8192
-/* How often an owner tells some peers of its endpoints, and how many. */
+/* Interval of load digests that an owner sends, and peers that get each one. */
 #define DIGEST_PERIOD (500 * PIMENTO_MSEC)
 #define DIGEST_FANOUT 4
-/* Witnesses that an issued key names. */
+/* Witnesses named in an issued idempotency key. */
 #define KEY_WITNESSES 3
 /* Bound on the difference between two hosts' wall clocks. */
 #define CLOCK_SKEW_DEFAULT (2 * PIMENTO_SEC)
 #define LIVE_HOSTS_MAX 1024
-/* A new host waits this long for peers before it takes callers without. */
+/* Time after the start at which a host becomes ready even without peers. */
 #define READY_GRACE (3 * PIMENTO_SEC)
 #define KEY_RETENTION_DEFAULT (600 * PIMENTO_SEC)
 #define KEYS_MAX_DEFAULT 65536
@@ -27,12 +27,13 @@
 #define REQUESTS_MAX_DEFAULT 4096
 
 /*
- * A configuration with its count of references. Traffic threads hold one while
- * the control thread switches to the next, so the count is atomic; the
- * configuration itself is never written after it was parsed.
+ * A configuration with its reference count. The count is atomic because traffic
+ * threads hold references while the control thread switches to a newer one. The
+ * configuration is not modified after parsing.
  */
 typedef struct refcounted_config {
-	pimento_config_t config; /* first, so that the two share an address */
+	pimento_config_t
+		config; /* first: pointers to it are cast to this type */
 	atomic_uint refs;
 } refcounted_config_t;
 
@@ -147,9 +148,10 @@
 }
 
 /*
- * Ownerships are numbered by the wall clock, so that a later one is greater
- * also across hosts and restarts. Two clocks apart make one summary look older
- * than it is; only estimates rest on that, never a claim.
+ * Epochs of ownership are taken from the wall clock, so that a later one is
+ * greater also across hosts and restarts. Clock skew between two hosts can make
+ * a load summary look older than it is; that affects only estimates of load,
+ * never the claim of a key.
  */
 static uint64_t new_epoch(pimento_host_t *host, pimento_usec_t now)
 {
@@ -188,7 +190,10 @@
 		owner_endpoint_restarted(&host->owner, now, id);
 }
 
-/* Rendezvous over the hosts in sight; each host does this by itself. */
+/*
+ * Assigns owners by rendezvous hash over the live hosts. Each host computes
+ * this alone; hosts with the same view of membership get the same owners.
+ */
 static void assign_owners(pimento_host_t *host, pimento_usec_t now)
 {
 	double share = membership_published_live_share(&host->membership);
@@ -209,7 +214,7 @@
 	return NULL;
 }
 
-/* Endpoints that the new configuration no longer has are given up. */
+/* Stops owning endpoints that the new configuration does not contain. */
 static void drop_removed_endpoints(pimento_host_t *host, pimento_usec_t now,
 				   const pimento_config_t *config)
 {
@@ -239,7 +244,8 @@
 		if (old)
 			endpoints[i] = *old;
 		endpoints[i].config = &config->endpoints[i];
-		endpoints[i].share = 0; /* owner.c takes the description */
+		/* Differs from any share: passes the new settings to owner.c. */
+		endpoints[i].share = 0;
 	}
 	free(host->endpoints);
 	host->endpoints = endpoints;
@@ -247,7 +253,7 @@
 	return PIMENTO_OK;
 }
 
-/* Keeps the mistakes, for whoever must mend the answers and publish again. */
+/* Keeps the errors of a rejected text for pimento_host_update_errors(). */
 static void record_rejected_update(pimento_host_t *host, uint64_t revision,
 				   problems_t *problems)
 {
@@ -257,7 +263,10 @@
 	host->update_rejected = true;
 }
 
-/* Switching is one step of the control thread: no request sees two halves. */
+/*
+ * Validates a configuration and puts it into force. The switch is one step of
+ * the control thread, so no request sees a mixture of two configurations.
+ */
 static int apply_config(pimento_host_t *host, pimento_usec_t now,
 			uint64_t revision, const char *text, size_t length)
 {
@@ -323,7 +332,7 @@
 	return PIMENTO_OK;
 }
 
-/* Judges whatever text the spread has complete. */
+/* Validates the texts that were received completely, and applies valid ones. */
 static int apply_pending_updates(pimento_host_t *host, pimento_usec_t now)
 {
 	static const config_sync_subject_t subjects[] = { CONFIG_SYNC_HOSTS,
@@ -425,8 +434,8 @@
 	if (host->leaving)
 		return PIMENTO_ELEAVING;
 	/*
-	 * A process that stood still may hold a configuration that was replaced
-	 * meanwhile, and would serve under it as if it were in force.
+	 * After a pause of this process its configuration may have been
+	 * replaced; it must not serve under it until it is confirmed.
 	 */
 	if (!host->config || !membership_is_fresh(&host->membership, now))
 		return PIMENTO_EUNREADY;
@@ -569,7 +578,10 @@
 	return host->entries.active;
 }
 
-/* A digest goes to a few peers by chance, so its cost is constant. */
+/*
+ * Sends load summaries of owned endpoints to a few random peers; the cost does
+ * not grow with the number of hosts.
+ */
 static void send_digest(pimento_host_t *host, pimento_usec_t now)
 {
 	message_t message = { .kind = MESSAGE_DIGEST };
@@ -633,7 +645,10 @@
 	return usec_min(due, host->entries.next_wake);
 }
 
-/* Takes one message out; those to this host itself are handed over here. */
+/*
+ * Moves the next message for a peer to host->scratch and processes those that
+ * this host sent to itself. Returns false if no message for a peer is left.
+ */
 static bool next_outgoing_message(pimento_host_t *host, pimento_id_t *to)
 {
 	while (outbox_take(&host->out, to, &host->scratch)) {
@@ -687,7 +702,7 @@
 	return host->update_errors;
 }
 
-/* Chooses witnesses among the live hosts, this one first. */
+/* Chooses witnesses of a key among the live hosts, this host being the first. */
 static void choose_witnesses(const pimento_host_t *host, uint32_t start,
 			     witness_set_t *set)
 {
@@ -713,7 +728,10 @@
 	set->quorum = set->count / 2 + 1;
 }
 
-/* With two witnesses both are needed; one lost would block the key. */
+/*
+ * Requires KEY_WITNESSES witnesses if the host list has that many entry hosts.
+ * With two witnesses the quorum is two, so the loss of one would block the key.
+ */
 static bool enough_witnesses(const pimento_host_t *host,
 			     const witness_set_t *set)
 {
--- a/src/host.h
+++ b/src/host.h
@@ -2,7 +2,9 @@
 #define HOST_H
 
 /*
- * One entry host: the parts put together. Messages to itself never leave it.
+ * One entry host: membership, configuration sync, owner, routing, witness and
+ * request table combined behind the interface of pimentoshelf.h. Messages from
+ * a host to itself are delivered directly and never sent.
  */
 
 #include "claim.h"
@@ -13,12 +15,12 @@
 #include "route.h"
 #include "config_sync.h"
 
-/* An endpoint of the configuration in force, and who owns it. */
+/* An endpoint of the configuration in force, and the host that owns it. */
 typedef struct host_endpoint {
 	const config_endpoint_t *config;
 	pimento_id_t owner;
-	uint64_t epoch; /* of our own ownership */
-	double share; /* that we told owner.c */
+	uint64_t epoch; /* of this host's ownership, if it owns the endpoint */
+	double share; /* share of the endpoint's capacity passed to owner.c */
 } host_endpoint_t;
 
 struct pimento_host {
@@ -36,29 +38,34 @@
 	hostlist_t hosts;
 	host_endpoint_t *endpoints;
 	uint32_t endpoint_count;
-	uint64_t applied_changes; /* of membership, as far as taken over */
-	uint64_t last_epoch;
-	uint64_t rejected_config_revision; /* revision that failed its checks */
-	uint64_t rejected_revision; /* of either text */
-	char *update_errors; /* why it was refused */
-	bool update_rejected;
+	uint64_t applied_changes; /* membership.owner_changes when owners were
+				     last assigned */
+	uint64_t last_epoch; /* newest epoch of an ownership of this host */
+	uint64_t rejected_config_revision; /* configuration rejected last */
+	uint64_t
+		rejected_revision; /* configuration or host list rejected last */
+	char *update_errors; /* errors in the text rejected last, or NULL */
+	bool update_rejected; /* UPDATE_REJECTED action is pending */
 	pimento_usec_t started;
-	pimento_usec_t now; /* of the latest call */
+	pimento_usec_t now; /* time passed to the latest call of the host */
 	pimento_usec_t next_digest;
-	uint32_t digest_start; /* endpoint the next digest begins with */
-	uint32_t config_switches;
+	uint32_t digest_start; /* index of the next digest's first endpoint */
+	uint32_t config_switches; /* configurations put into force */
 	bool leaving;
-	bool config_changed; /* an action is due */
-	bool hosts_changed;
-	message_t scratch;
+	bool config_changed; /* CONFIG_CHANGED action is pending */
+	bool hosts_changed; /* HOSTS_CHANGED action is pending */
+	message_t scratch; /* message of the latest SEND action */
 };
 
-/* What owns what, for status pages. Returns false past the last. */
+/*
+ * Returns the endpoint at an index with its owner and, if this host owns it,
+ * its load, for status pages; false if index is past the last endpoint.
+ */
 bool host_endpoint_status(const pimento_host_t *host, pimento_usec_t now,
 			  uint32_t index, const config_endpoint_t **config,
 			  pimento_id_t *owner, message_summary_t *summary);
 
-/* Name of a host by its id, from the host list; "?" if it is not there. */
+/* Returns the name of a host from the host list, or "?" if it is not listed. */
 const char *host_name(const pimento_host_t *host, pimento_id_t id);
 
 #endif
--- a/test/gossip_sim.c
+++ b/test/gossip_sim.c
@@ -1,7 +1,8 @@
 /*
- * One heap of events, deliveries and ticks. A host that stands still gets what
- * arrives meanwhile when it goes on, before its first tick, as from a socket's
- * buffer: the order in which a woken process trusts stale knowledge.
+ * Discrete-event simulation with one heap of message deliveries and ticks. A
+ * paused host processes the messages that arrived meanwhile when it continues,
+ * before its first tick, as from a socket's buffer: in that order a process is
+ * most likely to act on stale state after a pause.
  */
 
 #include "gossip_sim.h"
@@ -12,11 +13,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WATCH_DELAY (5 * PIMENTO_MSEC) /* of the platform's answer */
+#define WATCH_DELAY (5 * PIMENTO_MSEC) /* latency of the platform's answer */
 #define WATCH_RETRY_PERIOD (200 * PIMENTO_MSEC)
 #define OUTBOX_CAPACITY 4096
 #define PAUSE_DETECTED_MIN \
-	(2 * PIMENTO_SEC) /* a shorter one may go unnoticed */
+	(2 * PIMENTO_SEC) /* shorter pauses may go undetected */
 
 static bool event_before(const gossip_sim_event_t *a,
 			 const gossip_sim_event_t *b)
@@ -153,7 +154,10 @@
 		h->in_force_at = sim->now;
 }
 
-/* What a daemon does after each step. */
+/*
+ * Does the work of a daemon after each event of a host: puts received texts
+ * into force, sends the outbox and schedules the next tick; checks invariants.
+ */
 static void finish_step(gossip_sim_t *sim, gossip_sim_host_t *h)
 {
 	static message_t message;
@@ -167,13 +171,13 @@
 	h->membership.hosts_revision =
 		config_sync_revision(&h->config_sync, CONFIG_SYNC_HOSTS);
 	if (h->membership.config_revision < h->revision)
-		report_violation(sim, h, "the configuration reverted");
+		report_violation(sim, h, "configuration revision went back");
 	h->revision = h->membership.config_revision;
 	if (membership_is_fresh(&h->membership, sim->now) &&
 	    h->revision < h->wake_revision_min)
 		report_violation(
 			sim, h,
-			"serves under a revision from before its pause");
+			"fresh after a pause, but its revision is outdated");
 	while (outbox_take(&h->out, &to, &message))
 		send_message(sim, h, to, &message);
 	at = membership_deadline(&h->membership);
@@ -223,7 +227,7 @@
 		config_sync_revision(&h->config_sync, CONFIG_SYNC_CONFIG);
 	h->membership.hosts_revision =
 		config_sync_revision(&h->config_sync, CONFIG_SYNC_HOSTS);
-	/* A host cannot tell that the platform is stale. */
+	/* A stale platform confirms too, as a host cannot detect staleness. */
 	membership_platform_read_done(&h->membership, sim->now, sim->now);
 }
 
@@ -252,7 +256,10 @@
 	config_sync_receive(&h->config_sync, sim->now, from, m);
 }
 
-/* What all others that it can reach serve under, when a host goes on. */
+/*
+ * Returns the lowest revision in force on the other hosts that a host can reach
+ * when its pause ends; 0 if one of them is paused itself or not fresh.
+ */
 static uint64_t min_revision_in_force(const gossip_sim_t *sim,
 				      const gossip_sim_host_t *woken)
 {
@@ -355,7 +362,7 @@
 	h->paused_until = 0;
 	h->next_read_at = sim->now;
 	h->tick_at = 0;
-	/* Its settings name two seeds. */
+	/* As in a daemon's settings, two seed peers are known at the start. */
 	for (uint32_t i = 0; i < 2; i++)
 		membership_add_host(&h->membership, sim->now,
 				    sim->hosts[(host + 1 + i) % sim->count].id);
--- a/test/gossip_sim.h
+++ b/test/gossip_sim.h
@@ -2,10 +2,11 @@
 #define GOSSIP_SIM_H
 
 /*
- * Many hosts' membership and spread in virtual time, for tests and for the
- * slopes: links that lose, delay and reorder, hosts that die, restart and
- * stand still, cuts, and a platform that can be down or stale. Everything
- * follows from the seed. No requests; just what those two parts need.
+ * Simulates the membership and configuration sync of many hosts in virtual
+ * time, for tests and scaling benchmarks: links that lose, delay and reorder
+ * messages, hosts that crash, restart and pause, network partitions, and a
+ * platform that can be down or stale. The seed determines everything. Requests
+ * are not simulated.
  */
 
 #include "membership.h"
@@ -20,15 +21,16 @@
 	pimento_id_t id;
 	uint64_t incarnation;
 	bool up;
-	uint8_t partition; /* hosts of different sides cannot reach one another */
+	uint8_t partition; /* hosts of different numbers cannot communicate */
 	uint8_t datacentre;
 	pimento_usec_t paused_at;
-	pimento_usec_t paused_until; /* 0: runs */
-	pimento_usec_t tick_at; /* of the valid tick event */
+	pimento_usec_t paused_until; /* 0: not paused */
+	pimento_usec_t tick_at; /* due time of the one valid tick event */
 	pimento_usec_t next_read_at;
-	uint64_t
-		revision; /* highest in force since the start, to see it fall */
-	uint64_t wake_revision_min; /* in force elsewhere when it woke */
+	uint64_t revision; /* highest configuration revision in force since
+			      the start, to detect a reversion */
+	uint64_t wake_revision_min; /* lowest revision in force on other hosts
+				       when this host's pause ended */
 	pimento_usec_t in_force_at; /* when the revision came into force */
 	uint64_t sent_bytes;
 	uint64_t sent_messages;
@@ -36,11 +38,11 @@
 } gossip_sim_host_t;
 
 typedef struct gossip_sim_event {
-	pimento_usec_t at;
-	uint64_t order;
+	pimento_usec_t at; /* due time of the event */
+	uint64_t order; /* tie-breaker of events due at the same time */
 	uint32_t host;
 	pimento_id_t from;
-	message_t *message; /* NULL: a tick */
+	message_t *message; /* message to deliver; NULL: a tick of the host */
 } gossip_sim_event_t;
 
 typedef struct gossip_sim {
@@ -52,18 +54,19 @@
 	uint32_t heap_count;
 	uint32_t heap_capacity;
 	uint64_t order;
-	double loss;
+	double loss; /* share of messages lost */
 	pimento_usec_t delay_min;
 	pimento_usec_t delay_max;
-	double slow_message_chance; /* chance of a delay of up to a second */
+	double slow_message_chance; /* share of messages that are delayed by up
+				       to a second more */
 	bool platform_down;
-	bool platform_stale; /* shows what was published before the last */
-	uint64_t revisions[2]; /* published, by subject */
+	bool platform_stale; /* returns the texts published before the last */
+	uint64_t revisions[2]; /* published revisions, by subject - 1 */
 	char *texts[2];
 	char *previous_texts[2];
 	uint64_t platform_reads;
 	uint64_t rejected_texts;
-	uint64_t violations; /* broken promises; each printed */
+	uint64_t violations; /* violated invariants; each is printed */
 } gossip_sim_t;
 
 void gossip_sim_init(gossip_sim_t *gossip_sim, uint32_t count, uint64_t seed);
@@ -75,14 +78,20 @@
 void gossip_sim_pause_host(gossip_sim_t *gossip_sim, uint32_t host,
 			   pimento_usec_t span);
 
-/* Publishes a text with the next revision; takes over the allocated text. */
+/*
+ * Publishes a text with the next revision. The text must be allocated with
+ * malloc(); the simulation frees it.
+ */
 void gossip_sim_publish(gossip_sim_t *gossip_sim, config_sync_subject_t subject,
 			char *text);
 
-/* Publishes the hosts that are up; leaving ones by their own word. */
+/* Publishes the list of hosts that are up, with the leaving ones so marked. */
 void gossip_sim_publish_hosts(gossip_sim_t *gossip_sim);
 
-/* A configuration of about this many bytes; differs by the revision. */
+/*
+ * Returns an allocated configuration text of about size bytes, which differs in
+ * each revision.
+ */
 char *gossip_sim_make_config(gossip_sim_t *gossip_sim, size_t size);
 
 /* Counts hosts that are up and have the published revision in force. */
@@ -90,14 +99,18 @@
 				   config_sync_subject_t subject);
 uint32_t gossip_sim_count_up(const gossip_sim_t *gossip_sim);
 
-/* Counts pairs of hosts that are up and do not see one another live. */
+/*
+ * Counts pairs of hosts where the first, which is up, holds a wrong state of
+ * the second: not dead or unknown for one that is down, or not the state that
+ * one that is up has for itself.
+ */
 uint32_t gossip_sim_count_wrong_states(const gossip_sim_t *gossip_sim);
 
-/* Counts hosts that are up and still believe that this one lives. */
+/* Counts hosts that are up and have not detected that the host dead is dead. */
 uint32_t gossip_sim_count_undetected(const gossip_sim_t *gossip_sim,
 				     uint32_t dead);
 
-/* Counts endpoints whose owner is not the same for all hosts that are up. */
+/* Counts endpoints for which the hosts that are up compute different owners. */
 uint32_t gossip_sim_count_disputed_owners(const gossip_sim_t *gossip_sim,
 					  uint32_t endpoints);
 
--- a/test/netsim.c
+++ b/test/netsim.c
@@ -1,7 +1,8 @@
 /*
- * The queue of events to come holds messages, connections, ends of runs and
- * calls; whichever is due next happens next. A paused host's events wait for
- * it; a dead host's are lost.
+ * Discrete-event simulation of hosts: a heap holds the future messages,
+ * connections, ends of exchanges and disconnecting callers, by due time. Events
+ * of a paused host are delayed until it continues; those of a crashed host are
+ * dropped.
  */
 
 #include "netsim.h"
@@ -23,16 +24,16 @@
 
 typedef enum netsim_event_kind {
 	NETSIM_EVENT_MESSAGE = 1,
-	NETSIM_EVENT_CONNECT, /* an exchange's connection stands */
-	NETSIM_EVENT_END, /* an exchange ends */
-	NETSIM_EVENT_CALLER_LEAVE /* a caller leaves */
+	NETSIM_EVENT_CONNECT, /* connecting to an endpoint succeeds or fails */
+	NETSIM_EVENT_END, /* an exchange with an endpoint ends */
+	NETSIM_EVENT_CALLER_LEAVE /* a caller disconnects */
 } netsim_event_kind_t;
 
 typedef struct netsim_event {
 	netsim_event_kind_t kind;
 	pimento_usec_t due;
 	uint32_t host;
-	uint64_t incarnation; /* a restarted host is another */
+	uint64_t incarnation; /* of the host, to drop events after a restart */
 	pimento_id_t from;
 	message_t *message;
 	pimento_action_t action;
@@ -40,27 +41,27 @@
 	pimento_handle_t handle;
 } netsim_event_t;
 
-/* What the netsim knows of one request id, whatever hosts believe. */
+/* A request as the simulation observed it, independent of the hosts' state. */
 typedef struct tracked_request {
 	pimento_reqid_t id;
 	uint32_t host;
 	uint64_t incarnation;
-	int key; /* -1 none */
-	uint32_t attempt; /* at its commit or refusal */
+	int key; /* index into keys; -1: none */
+	uint32_t attempt; /* of the key, at the commit or refusal */
 	uint32_t commits;
 	bool answered;
-	bool caller_disconnected; /* its caller hears nothing more */
-	bool not_run;
-	pimento_usec_t run_ends_at; /* at the endpoint, 0 never ran */
-	pimento_id_t endpoint;
+	bool caller_disconnected;
+	bool not_run; /* the caller was told that the request has not run */
+	pimento_usec_t run_ends_at; /* end at the endpoint; 0: never ran */
+	pimento_id_t endpoint; /* that runs the request */
 } tracked_request_t;
 
 typedef struct netsim_host {
-	pimento_host_t *host; /* NULL: down */
+	pimento_host_t *host; /* NULL while crashed */
 	uint64_t incarnation;
 	pimento_usec_t paused_until;
 	pimento_usec_t restart_at;
-	int partition_side; /* of the partition */
+	int partition_side; /* side of the network partition */
 } netsim_host_t;
 
 struct netsim {
@@ -68,9 +69,9 @@
 	netsim_faults_t faults;
 	double keyed_share;
 	pimento_usec_t now;
-	bool healed;
+	bool healed; /* faults have ended */
 	netsim_host_t sim_hosts[NETSIM_HOSTS];
-	netsim_event_t *events; /* a heap by due */
+	netsim_event_t *events; /* binary heap, ordered by due */
 	uint32_t event_count;
 	uint32_t event_capacity;
 	tracked_request_t tracked_requests[NETSIM_REQUESTS_MAX];
@@ -172,7 +173,7 @@
 	return find_tracked(netsim, id);
 }
 
-/* The attempt that a host uses for a keyed_share request, from its own state. */
+/* Reads from a host's state which attempt of its key a request uses, or 0. */
 static uint32_t attempt_of(netsim_t *netsim, uint32_t host,
 			   pimento_handle_t handle)
 {
@@ -182,7 +183,10 @@
 	return entry->claim ? entry->claim->attempt : 0;
 }
 
-/* "Not run" of an attempt covers every request that used it or an older one. */
+/*
+ * Checks a refusal as "not run": no request that used the same or an older
+ * attempt of the key may have been dispatched.
+ */
 static void check_not_run(netsim_t *netsim, const tracked_request_t *tracked)
 {
 	for (uint32_t i = 0; i < netsim->tracked_count; i++) {
@@ -194,21 +198,20 @@
 		if (other->commits && other->attempt <= tracked->attempt)
 			report_violation(
 				netsim,
-				"not run was said of a key that had run",
+				"reported as not run, but its key was dispatched",
 				tracked);
 	}
 	if (tracked->commits)
-		report_violation(netsim, "not run was said after the dispatch",
+		report_violation(netsim, "reported as not run after dispatch",
 				 tracked);
 }
 
 static void check_commit(netsim_t *netsim, const tracked_request_t *tracked)
 {
 	if (tracked->commits > 1)
-		report_violation(netsim, "a request was dispatched twice",
-				 tracked);
+		report_violation(netsim, "request dispatched twice", tracked);
 	if (tracked->not_run)
-		report_violation(netsim, "a request ran after not run was said",
+		report_violation(netsim, "dispatched after reported as not run",
 				 tracked);
 	for (uint32_t i = 0; i < netsim->tracked_count; i++) {
 		const tracked_request_t *other = &netsim->tracked_requests[i];
@@ -217,11 +220,11 @@
 		    other->key != tracked->key)
 			continue;
 		if (other->commits)
-			report_violation(netsim, "a key was dispatched twice",
+			report_violation(netsim, "key dispatched twice",
 					 tracked);
 		if (other->not_run && other->attempt >= tracked->attempt)
 			report_violation(
-				netsim, "an attempt ran after not run was said",
+				netsim, "attempt ran after reported as not run",
 				tracked);
 	}
 }
@@ -312,8 +315,7 @@
 	if (!tracked || tracked->caller_disconnected)
 		return;
 	if (tracked->answered)
-		report_violation(netsim, "a request was answered twice",
-				 tracked);
+		report_violation(netsim, "request answered twice", tracked);
 	tracked->answered = true;
 }
 
@@ -329,12 +331,15 @@
 	    action->error == PIMENTO_EMISMATCH)
 		return;
 	tracked->not_run = true;
-	/* Without a known attempt the promise is of the first. */
+	/* If the attempt is unknown, "not run" holds for the first attempt. */
 	tracked->attempt = action->attempt ? action->attempt : 1;
 	check_not_run(netsim, tracked);
 }
 
-/* The answer kept for a key is the id of the request that ran under it. */
+/*
+ * Checks that a replayed answer, which is the id of the request that produced
+ * it, belongs to a dispatched request with the same key.
+ */
 static void check_replay(netsim_t *netsim, uint32_t host,
 			 const pimento_action_t *action)
 {
@@ -346,7 +351,7 @@
 	memcpy(&id, action->answer, sizeof(id));
 	ran = find_tracked(netsim, id);
 	if (tracked && (!ran || ran->key != tracked->key || !ran->commits))
-		report_violation(netsim, "an answer of another request",
+		report_violation(netsim, "replayed the answer of another key",
 				 tracked);
 	record_answer(netsim, host, action->request);
 	netsim->counts.replayed++;
@@ -385,7 +390,10 @@
 	}
 }
 
-/* The bytes left: from here the endpoint runs the request, come what may. */
+/*
+ * Commits a dispatch. From here on the endpoint runs the request to its end,
+ * even if the connection breaks or the host crashes.
+ */
 static void commit_exchange(netsim_t *netsim, const netsim_event_t *event)
 {
 	pimento_handle_t handle = event->action.request;
@@ -451,7 +459,7 @@
 				    .status = 200,
 				    .tokens = 10 };
 
-	/* Small answers are kept; the id stands for the bytes. */
+	/* The answer's body is the request's id, which check_replay() verifies. */
 	if (event->outcome == PIMENTO_EVENT_DONE) {
 		outcome.answer = (const uint8_t *)&event->action.stream;
 		outcome.answer_size = sizeof(event->action.stream);
@@ -571,7 +579,7 @@
 		partition(netsim);
 }
 
-/* A caller's own key: a UUID of version 7, which carries its birth. */
+/* Makes a caller's own key, a UUID version 7, which contains a timestamp. */
 static void make_caller_key(netsim_t *netsim, char *key)
 {
 	uint64_t msec = (uint64_t)(netsim->now / PIMENTO_MSEC);
@@ -584,8 +592,9 @@
 }
 
 /*
- * A key is used by several callers, also at once and through several hosts,
- * for a while; then others are. Every third is the caller's own.
+ * Chooses one of ACTIVE_KEYS keys, so that several requests use a key at once
+ * through several hosts; the set changes every KEY_ROTATION_PERIOD. One key in
+ * three is made by the caller, the others are issued by the host.
  */
 static const char *choose_key(netsim_t *netsim, uint32_t host, int *index)
 {
@@ -724,7 +733,7 @@
 	}
 }
 
-/* Nothing is lost: whoever's entry host lived on has an answer by now. */
+/* Every request must be answered unless its entry host has crashed. */
 static void check_answered(netsim_t *netsim)
 {
 	for (uint32_t i = 0; i < netsim->tracked_count; i++) {
@@ -735,8 +744,7 @@
 			    tracked->incarnation)
 			continue;
 		netsim->counts.unanswered++;
-		report_violation(netsim, "a request was never answered",
-				 tracked);
+		report_violation(netsim, "request never answered", tracked);
 	}
 }
 
--- a/test/netsim.h
+++ b/test/netsim.h
@@ -2,10 +2,10 @@
 #define NETSIM_H
 
 /*
- * A few pure hosts in virtual time, with fakes of links, endpoints and
- * callers, for tests of what must hold under faults. Everything follows from
- * one seed. It checks the promises itself, at every step, and counts what it
- * broke; it is no model of a fleet's speed.
+ * Simulates a few hosts in virtual time, with fake links, endpoints and callers
+ * and random faults, all determined by one seed. It checks at every step that no
+ * request is dispatched twice, reported falsely as not run, or left unanswered,
+ * and records the first violation. It does not model performance.
  */
 
 #include "host.h"
@@ -16,15 +16,16 @@
 #define NETSIM_REQUESTS_MAX 4096
 
 typedef struct netsim_faults {
-	double loss; /* of a message */
-	double duplication;
-	pimento_usec_t delay_max;
-	double connect_refused; /* connections that endpoints refuse */
-	double disconnect; /* exchanges that break after the commit */
-	double crash; /* chance of a host, each virtual second */
-	double pause;
-	double partition; /* chance of a partition of the fleet, each virtual second */
-	double caller_leave; /* callers who leave while they wait */
+	double loss; /* share of messages lost */
+	double duplication; /* share of messages delivered twice */
+	pimento_usec_t delay_max; /* of a tenth of the messages; 0: no delays */
+	double connect_refused; /* share of connections that endpoints refuse */
+	double disconnect; /* share of exchanges that break after the commit */
+	double crash; /* probability per host and virtual second */
+	double pause; /* probability per host and virtual second */
+	double partition; /* probability per virtual second of a change: half
+			     of the changes split the network, half heal it */
+	double caller_leave; /* share of callers that disconnect */
 } netsim_faults_t;
 
 typedef struct netsim_counts {
@@ -38,23 +39,29 @@
 	uint64_t submitted;
 	uint64_t commits;
 	uint64_t done;
-	uint64_t refused[3]; /* by verdict */
+	uint64_t refused[3]; /* indexed by pimento_verdict_t */
 	uint64_t replayed;
 	uint64_t resumed;
-	uint64_t unanswered; /* on hosts that never died: must be zero */
+	uint64_t unanswered; /* by hosts that have not crashed; must be zero */
 } netsim_counts_t;
 
 typedef struct netsim netsim_t;
 
-/* Returns NULL without memory. keyed_share is the share of requests with a key. */
+/*
+ * Returns a simulation, to be freed with netsim_free(), or NULL if its hosts
+ * cannot be started. keyed_share is the share of requests with a key.
+ */
 netsim_t *netsim_new(uint64_t seed, const netsim_faults_t *faults,
 		     double keyed_share);
 void netsim_free(netsim_t *netsim);
 
-/* Runs with faults for a span, then heals and lets everything end. */
+/*
+ * Runs with faults and new requests for a span of virtual time, then without
+ * them until every request must have been answered.
+ */
 void netsim_run(netsim_t *netsim, pimento_usec_t span);
 
-/* The first promise that was broken, or NULL. */
+/* Returns a description of the first violation, or NULL. */
 const char *netsim_violation(const netsim_t *netsim);
 const netsim_counts_t *netsim_counts(const netsim_t *netsim);
 
--- a/test/test_base.c
+++ b/test/test_base.c
@@ -1,5 +1,5 @@
 /*
- * Names, errors and the outbox.
+ * Tests of error strings and of the outbox's order and capacity.
  */
 
 #include "message.h"
--- a/test/test_gossip.c
+++ b/test/test_gossip.c
@@ -1,7 +1,7 @@
 /*
- * Membership and spread among several hosts in virtual time, under random
- * faults by seed. GOSSIP_SEED and GOSSIP_RUNS choose other seeds than the fixed
- * ones.
+ * Tests of membership and configuration sync among several hosts in virtual
+ * time, under random faults. GOSSIP_SEED sets the first seed, GOSSIP_RUNS the
+ * number of seeds.
  */
 
 #include "gossip_sim.h"
@@ -15,7 +15,7 @@
 #define RECOVERY_SPAN (90 * PIMENTO_SEC)
 #define ENDPOINTS 200
 
-/* What each host was observed to hold of each other's leaving. */
+/* What one host was last observed to know about another host's leaving. */
 typedef struct observation {
 	uint64_t observer;
 	uint64_t incarnation;
@@ -41,7 +41,8 @@
 			    s->incarnation == incarnation &&
 			    (state == HOST_LIVE || state == HOST_SUSPECT)) {
 				sim->violations++;
-				fprintf(stderr, "host %u: %u left, no more\n",
+				fprintf(stderr,
+					"host %u: leaving host %u is live again\n",
 					i, j);
 			}
 			s->observer = h->incarnation;
@@ -151,21 +152,22 @@
 	}
 	heal(&sim);
 	check_leaving(&sim, observed);
-	ck_assert_msg(!sim.violations, "seed %llu: %llu problems",
+	ck_assert_msg(!sim.violations, "seed %llu: %llu invariant violations",
 		      (unsigned long long)seed,
 		      (unsigned long long)sim.violations);
 	ck_assert_msg(!gossip_sim_count_wrong_states(&sim),
-		      "seed %llu, %u hosts: %u misjudged",
+		      "seed %llu, %u hosts: %u wrong host states",
 		      (unsigned long long)seed, count,
 		      gossip_sim_count_wrong_states(&sim));
 	ck_assert_msg(!gossip_sim_count_disputed_owners(&sim, ENDPOINTS),
-		      "seed %llu: owners disputed", (unsigned long long)seed);
+		      "seed %llu: hosts disagree on owners",
+		      (unsigned long long)seed);
 	ck_assert_msg(
 		gossip_sim_count_in_force(&sim, CONFIG_SYNC_CONFIG) ==
 				gossip_sim_count_up(&sim) &&
 			gossip_sim_count_in_force(&sim, CONFIG_SYNC_HOSTS) ==
 				gossip_sim_count_up(&sim),
-		"seed %llu: in force at %u and %u of %u",
+		"seed %llu: configuration in force on %u, host list on %u of %u hosts",
 		(unsigned long long)seed,
 		gossip_sim_count_in_force(&sim, CONFIG_SYNC_CONFIG),
 		gossip_sim_count_in_force(&sim, CONFIG_SYNC_HOSTS),
@@ -175,17 +177,18 @@
 }
 
 /*
- * Hosts die, restart, leave and stand still, links lose, delay and cut, the
- * platform is down or shows what it showed before. Were anything of that to
- * leave lasting marks, some endpoint would have two owners or none for good,
- * or a host would go on serving under a configuration that was withdrawn.
+ * Hosts crash, restart, leave and pause, messages are lost and delayed, the
+ * network is partitioned, the platform is down or stale. If a fault had a
+ * lasting effect, an endpoint would keep two owners or none, or a host would
+ * keep serving under a configuration that was replaced.
  */
 START_TEST(state_converges_after_random_faults)
 {
 	const char *seed = getenv("GOSSIP_SEED");
 	uint64_t base = seed ? strtoull(seed, NULL, 10) : 1;
 
-	printf("fleet: seed %llu\n", (unsigned long long)base + (uint64_t)_i);
+	printf("random faults: seed %llu\n",
+	       (unsigned long long)base + (uint64_t)_i);
 	fflush(stdout);
 	run_seed(base + (uint64_t)_i, 3 + (uint32_t)(_i * 7) % 48);
 }
@@ -204,7 +207,7 @@
 	ck_assert_uint_eq(gossip_sim_count_wrong_states(sim), 0);
 }
 
-/* Span time_until_zero the check counts zero, or the limit. */
+/* Returns the virtual time until count() returns 0, or limit. */
 static pimento_usec_t time_until_zero(gossip_sim_t *sim,
 				      uint32_t (*count)(const gossip_sim_t *),
 				      pimento_usec_t limit)
@@ -223,9 +226,9 @@
 }
 
 /*
- * A cut that lasts long enough for both sides to hold each other dead. Hosts
- * that are held dead and never asked again would stay dead after the cut, and
- * every endpoint would go on having two owners.
+ * A partition lasts long enough for each side to declare the other dead. If dead
+ * hosts were never probed again, they would stay dead after the partition, and
+ * every endpoint would keep two owners.
  */
 START_TEST(state_converges_after_partition)
 {
@@ -252,8 +255,8 @@
 END_TEST
 
 /*
- * A host dies without a word. Until the others know, requests that reserve
- * with it wait in vain.
+ * A host crashes without announcing it. Until the other hosts detect that,
+ * requests that reserve slots with it wait for a reply that never comes.
  */
 START_TEST(dead_host_is_detected_within_seconds)
 {
@@ -271,9 +274,9 @@
 END_TEST
 
 /*
- * A data centre's worth of hosts starts at once, and while word of that still
- * fills every message, a host dies. Were its death to wait its turn behind the
- * rest, requests would go on waiting with the dead host for half a minute.
+ * 200 hosts start at once, and a host crashes while updates about the starts
+ * still fill every gossip message. If the update about the crash were queued
+ * behind them, requests would keep waiting for the dead host for half a minute.
  */
 START_TEST(death_is_gossiped_before_older_updates)
 {
@@ -293,16 +296,17 @@
 	while (gossip_sim_count_undetected(&sim, 1) &&
 	       sim.now - start < 60 * PIMENTO_SEC)
 		gossip_sim_run(&sim, 100 * PIMENTO_MSEC);
-	printf("gossip: known after %d ms\n", (int)((sim.now - start) / 1000));
+	printf("gossip: death known to all hosts after %d ms\n",
+	       (int)((sim.now - start) / 1000));
 	ck_assert_int_lt(sim.now - start, 8 * PIMENTO_SEC);
 	gossip_sim_finish(&sim);
 }
 END_TEST
 
 /*
- * The platform is down for hours, and meanwhile a host is replaced. It knows
- * two peers from its settings and has to learn the rest from them, or the
- * fleet melts away over a night.
+ * A host is replaced while the platform is down. It knows two peers from its
+ * settings and must learn the others and the configuration from them; otherwise
+ * replaced hosts would be lost for as long as the platform is down.
  */
 START_TEST(host_joins_while_platform_is_down)
 {
@@ -323,9 +327,9 @@
 END_TEST
 
 /*
- * Links lose one message in twenty while somebody publishes. If a lost message
- * cost more than a retry, one caller would be served by old rules and the next
- * by new ones for a long while.
+ * Links lose one message in twenty while configurations are published. If a
+ * lost message cost more than a retry, different hosts would serve callers
+ * under different configurations for a long time.
  */
 START_TEST(config_propagates_within_seconds)
 {
--- a/test/test_host_random.c
+++ b/test/test_host_random.c
@@ -1,11 +1,11 @@
 /*
- * Whole hosts under random faults, in virtual time. Each seed is one schedule
- * of messages lost, duplicated, late and out of order, hosts killed, paused and
- * partition off, connections refused and violation, callers who leave. What must hold
- * is checked at every step by netsim.c.
+ * Complete hosts under random faults, in virtual time. Each seed is one
+ * schedule of faults: messages lost, duplicated, delayed and reordered, hosts
+ * crashed, paused and partitioned, connections refused and broken, callers that
+ * disconnect. netsim.c checks the guarantees at every step.
  *
- *	SEED=n build/test/test_host_random	repeats one schedule
- *	SEEDS=n build/test/test_host_random	runs n of each kind
+ *	SEED=n KIND=k build/test/test_host_random	repeats one schedule
+ *	SEEDS=n build/test/test_host_random		runs n seeds per scenario
  */
 
 #include "netsim.h"
@@ -23,18 +23,18 @@
 	double keyed_share;
 	netsim_faults_t faults;
 } scenarios[] = {
-	{ "calm", 0.3, { .loss = 0 } },
+	{ "no faults", 0.3, { .loss = 0 } },
 	{ "lossy links",
 	  0.5,
 	  { .loss = 0.1, .duplication = 0.1, .delay_max = 2 * PIMENTO_SEC } },
 	{ "hosts killed", 0.5, { .crash = 0.05, .loss = 0.01 } },
 	{ "hosts paused", 0.5, { .pause = 0.08, .disconnect = 0.05 } },
-	{ "fleet cut", 0.5, { .partition = 0.3, .loss = 0.01 } },
+	{ "partitions", 0.5, { .partition = 0.3, .loss = 0.01 } },
 	{ "endpoints fail",
 	  0.4,
 	  { .connect_refused = 0.2, .disconnect = 0.2 } },
 	{ "callers leave", 0.5, { .caller_leave = 0.3, .disconnect = 0.1 } },
-	{ "all together",
+	{ "all faults",
 	  0.6,
 	  { .loss = 0.05,
 	    .duplication = 0.05,
@@ -72,9 +72,9 @@
 	printf("%-15s %" PRIu64 " schedules, %" PRIu64 " requests, %" PRIu64
 	       " dispatched, refused %" PRIu64 " not run %" PRIu64
 	       " may have run %" PRIu64 " ran, %" PRIu64 " replayed, %" PRIu64
-	       " followed; faults: %" PRIu64 " lost %" PRIu64
-	       " doubled %" PRIu64 " killed %" PRIu64 " paused %" PRIu64
-	       " cut\n",
+	       " resumed; faults: %" PRIu64 " lost %" PRIu64
+	       " duplicated %" PRIu64 " crashed %" PRIu64 " paused %" PRIu64
+	       " partitions\n",
 	       name, seeds, c->submitted, c->commits, c->refused[0],
 	       c->refused[1], c->refused[2], c->replayed, c->resumed, c->lost,
 	       c->duplicated, c->crashes, c->pauses, c->partitions);
@@ -99,9 +99,10 @@
 }
 
 /*
- * A parent's charge is retried through another entry host while the first one
- * is dead, paused or partition off; the parent would see the money taken twice, or
- * be told "not run" of a charge that was taken.
+ * A caller retries a request through another entry host while the first one is
+ * dead, paused or partitioned. Without the claim of its key the request would
+ * run twice, or be reported as "not run" although it had run: a payment would
+ * be charged twice, or charged and reported as failed.
  */
 START_TEST(no_duplicate_or_misreported_dispatch_under_faults)
 {
