--- a/src/delta.c
+++ b/src/delta.c
@@ -96,9 +96,9 @@
 	uint32_t i = (uint32_t)XXH3_64bits(token, n) & table->mask;
 
 	for (; table->offsets[i]; i = (i + 1) & table->mask) {
-		size_t held = table->offsets[i] - 1;
+		size_t start = table->offsets[i] - 1;
 
-		if (base_length - held >= n && !memcmp(base + held, token, n))
+		if (base_length - start >= n && !memcmp(base + start, token, n))
 			break;
 	}
 	return &table->offsets[i];
--- a/src/endpoint.c
+++ b/src/endpoint.c
@@ -29,9 +29,9 @@
 #define SERVICE_TIME_MARGIN 1.25
 #define REMAINING_TOKENS_DIVISOR \
 	10 /* of an estimate, still to come when it is reached */
-#define FULL_HOLD_TIME (1500 * PIMENTO_MSEC) /* until the next word is due */
-#define FULL_WAIT_ESTIMATE \
-	(5 * PIMENTO_SEC) /* a guess: until some answer ends */
+#define MEMORY_FULL_HOLD_TIME \
+	(1500 * PIMENTO_MSEC) /* until the next word is due */
+#define MEMORY_FULL_WAIT (5 * PIMENTO_SEC) /* a guess: until some answer ends */
 #define PEAK_WINDOW (30 * PIMENTO_SEC)
 #define EXTERNAL_RUNNING_TTL (10 * PIMENTO_SEC)
 
@@ -87,13 +87,13 @@
 			     uint8_t tier)
 {
 	uint32_t slots = slot_share(e);
-	uint32_t free_of_others = limit_requests(&e->limit);
+	uint32_t available = limit_requests(&e->limit);
 	uint32_t others = external_running(e, now);
 	uint32_t reserved;
 
-	free_of_others = free_of_others > others ? free_of_others - others : 0;
-	if (slots > free_of_others)
-		slots = free_of_others;
+	available = available > others ? available - others : 0;
+	if (slots > available)
+		slots = available;
 	if (!slots)
 		slots = 1;
 	if (!tier || slots < 2 || !e->running ||
@@ -137,7 +137,7 @@
  * them from ever being done in time; an answer's slack says how much it bears.
  */
 static bool slack_allows_prefill(const owner_endpoint_t *e, pimento_usec_t now,
-				 uint8_t tier, pimento_usec_t reading)
+				 uint8_t tier, pimento_usec_t prefill_span)
 {
 	for (const reservation_t *r = e->in_flight; r; r = r->older) {
 		pimento_usec_t left = r->item.deadline - now;
@@ -146,7 +146,7 @@
 			continue;
 		left -= limit_decode_span(&e->limit, remaining_tokens(r));
 		if (left > 0 &&
-		    (double)left < (double)reading * PREFILL_SLACK_FACTOR)
+		    (double)left < (double)prefill_span * PREFILL_SLACK_FACTOR)
 			return false;
 	}
 	return true;
@@ -195,7 +195,7 @@
  * and never learns that it is faster.
  */
 pimento_usec_t endpoint_service_time(const owner_endpoint_t *e,
-				     const message_reserve_t *asked)
+				     const message_reserve_t *request)
 {
 	const limit_t *limit = &e->limit;
 	double span = 0;
@@ -208,18 +208,19 @@
 			       : 0;
 	if (limit_prefill_rate(limit) > 0)
 		span += (double)limit_prefill_span(limit, e->prefill_tokens,
-						   asked->prompt_tokens);
+						   request->prompt_tokens);
 	if (limit_decode_rate(limit) > 0)
-		span += (double)limit_decode_span(limit, asked->answer_tokens) *
+		span += (double)limit_decode_span(limit,
+						  request->answer_tokens) *
 			BATCHED_DECODE_SLOWDOWN;
 	return (pimento_usec_t)span;
 }
 
 pimento_usec_t endpoint_busy_time(const owner_endpoint_t *e,
-				  const message_reserve_t *asked)
+				  const message_reserve_t *request)
 {
-	return limit_work(&e->limit, asked->prompt_tokens,
-			  asked->answer_tokens);
+	return limit_work(&e->limit, request->prompt_tokens,
+			  request->answer_tokens);
 }
 
 pimento_usec_t endpoint_wait_time(const owner_endpoint_t *e, pimento_usec_t now,
@@ -228,7 +229,7 @@
 	pimento_usec_t wait = queue_work(&e->queue, tier);
 
 	if (now < e->memory_full_until)
-		wait += FULL_WAIT_ESTIMATE;
+		wait += MEMORY_FULL_WAIT;
 	if (tier)
 		wait += limit_prefill_span(&e->limit, e->prefill_tokens, 0);
 	if (e->running && e->running >= endpoint_tier_slots(e, now, tier))
@@ -303,7 +304,7 @@
 	if (limit_check_first_token(&e->limit, now,
 				    r->prefill_ahead + r->params.prompt_tokens,
 				    now - r->granted_at, &load))
-		e->memory_full_until = now + FULL_HOLD_TIME;
+		e->memory_full_until = now + MEMORY_FULL_HOLD_TIME;
 }
 
 void endpoint_update_answered(owner_endpoint_t *e, reservation_t *r,
--- a/src/endpoint.h
+++ b/src/endpoint.h
@@ -53,11 +53,11 @@
 
 /* Span that the request would take, if granted now. */
 pimento_usec_t endpoint_service_time(const owner_endpoint_t *endpoint,
-				     const message_reserve_t *asked);
+				     const message_reserve_t *request);
 
 /* Part of the endpoint's time that the request uses up. */
 pimento_usec_t endpoint_busy_time(const owner_endpoint_t *endpoint,
-				  const message_reserve_t *asked);
+				  const message_reserve_t *request);
 
 /* Span until a request put into the line of this tier now is granted. */
 pimento_usec_t endpoint_wait_time(const owner_endpoint_t *endpoint,
--- a/src/registry.c
+++ b/src/registry.c
@@ -135,17 +135,17 @@
 }
 
 void registry_apply_report(registry_endpoint_t *endpoint,
-			   const registry_report_t *word, pimento_usec_t at)
+			   const registry_report_t *report, pimento_usec_t at)
 {
-	pimento_usec_t ejected = at + word->ejected_ms * PIMENTO_MSEC;
+	pimento_usec_t ejected = at + report->ejected_ms * PIMENTO_MSEC;
 
-	endpoint->report = *word;
+	endpoint->report = *report;
 	endpoint->own_running_at_report = endpoint->running;
 	endpoint->report_at = at;
 	/* The owner hears from all hosts; this one has seen a few streams. */
-	if (word->event_gap_us)
-		endpoint->latency.event_gap_us = word->event_gap_us;
-	if (word->ejected_ms && endpoint->latency.ejected_until < ejected)
+	if (report->event_gap_us)
+		endpoint->latency.event_gap_us = report->event_gap_us;
+	if (report->ejected_ms && endpoint->latency.ejected_until < ejected)
 		endpoint->latency.ejected_until = ejected;
 }
 
--- a/src/registry.h
+++ b/src/registry.h
@@ -102,9 +102,9 @@
 registry_service_t *registry_get_service(registry_t *registry,
 					 pimento_id_t key);
 
-/* Takes the word that an endpoint's owner said at a time. */
+/* Takes the report that an endpoint's owner said at a time. */
 void registry_apply_report(registry_endpoint_t *endpoint,
-			   const registry_report_t *word, pimento_usec_t at);
+			   const registry_report_t *report, pimento_usec_t at);
 
 /* Drops endpoints that are gone and that nobody holds. */
 void registry_free_removed(registry_t *registry, pimento_usec_t now);
--- a/test/test_catalog.c
+++ b/test/test_catalog.c
@@ -140,11 +140,11 @@
 
 START_TEST(version_is_freed_with_last_reference)
 {
-	catalog_t *held = catalog_retain(catalog);
+	catalog_t *retained = catalog_retain(catalog);
 
 	catalog_release(catalog);
-	ck_assert_uint_eq(held->version, 7);
-	catalog = held;
+	ck_assert_uint_eq(retained->version, 7);
+	catalog = retained;
 }
 END_TEST
 
