--- a/src/catalog.c
+++ b/src/catalog.c
@@ -1,7 +1,8 @@
 /*
- * Versions of the configuration are small and change seldom, so that each is
- * built whole, sorted once and then only read. Holders are counted by the one
- * thread that handles requests.
+ * Versions of the configuration are small and rarely change, so each one is
+ * built completely, sorted once and read-only from then on. References are
+ * counted without locks, because only the thread that handles requests counts
+ * them.
  */
 
 #include "catalog.h"
@@ -54,7 +55,7 @@
 		free_catalog(catalog);
 }
 
-/* Grows to powers of two, so that many routes do not cost a copy each. */
+/* Doubles the capacity when full, so that an append rarely copies the array. */
 static void *append_element(void *elements, uint32_t *count, size_t size)
 {
 	void *grown = elements;
@@ -141,7 +142,10 @@
 	return strcmp(x->prefix, y->prefix);
 }
 
-/* Enters a priority into the sorted ones, the least urgent of which may go. */
+/*
+ * Inserts a priority into an ascending list of distinct ones. If the list is
+ * full, the least urgent priority is dropped.
+ */
 static void insert_priority(uint32_t *tiers, uint32_t *count, uint32_t priority)
 {
 	uint32_t i = 0;
@@ -156,7 +160,7 @@
 	tiers[i] = priority;
 }
 
-/* Priorities may be any numbers; tiers count those that are in use. */
+/* A tier is the rank of a priority in use; priorities may be any numbers. */
 static void assign_tiers(catalog_t *catalog)
 {
 	uint32_t tiers[CATALOG_TIERS_MAX];
@@ -194,7 +198,10 @@
 	return host[length] ? -1 : 0;
 }
 
-/* The first route of a host; routes of one host stand together. */
+/*
+ * Returns the index of a host's first route, or where it would be. Routes are
+ * sorted by host; length excludes the port.
+ */
 static uint32_t first_route_of_host(const catalog_t *catalog, const char *host,
 				    size_t length)
 {
--- a/src/catalog.h
+++ b/src/catalog.h
@@ -2,17 +2,18 @@
 #define CATALOG_H
 
 /*
- * The operator's configuration as one immutable version: routes, the services
- * they lead to, client accounts and their keys, and limits. A request holds the
- * version that it arrived under; a version is freed with its last holder.
+ * One immutable version of the operator's configuration: routes, the services
+ * that they select from, client accounts with their keys, and limits. A request
+ * keeps a reference to the version that was current when it arrived; a version
+ * is freed with its last reference. Reference counts are not thread-safe.
  */
 
 #include "../pimentoshelf.h"
 
 typedef enum catalog_kind {
-	CATALOG_IDEMPOTENT, /* may run more than once */
+	CATALOG_IDEMPOTENT, /* a request may be executed more than once */
 	CATALOG_NON_IDEMPOTENT,
-	CATALOG_STREAMING /* as non-idempotent, unless it can be resumed */
+	CATALOG_STREAMING /* non-idempotent unless the route is resumable */
 } catalog_kind_t;
 
 typedef struct catalog_target {
@@ -23,48 +24,50 @@
 typedef struct catalog_route {
 	char *name;
 	char *host; /* lower case */
-	char *prefix; /* begins and ends with a slash */
-	pimento_id_t key; /* of the name */
+	char *prefix; /* path prefix; begins and ends with a slash */
+	pimento_id_t key; /* hash of the name */
 	catalog_kind_t kind;
-	bool resumable;
-	bool allows_anonymous; /* needs no key */
+	bool resumable; /* a broken stream may be resumed */
+	bool allows_anonymous; /* accepts requests without a client key */
 	uint32_t priority; /* 0 is the most urgent */
-	uint32_t tier; /* of the priorities in use, after catalog_finalize() */
-	uint32_t attempts_max; /* endpoints that one request may be sent to */
+	uint32_t tier; /* rank of priority, set by catalog_finalize() */
+	uint32_t attempts_max; /* endpoints that a request may be sent to */
 	pimento_usec_t timeout;
-	pimento_usec_t
-		objective; /* to the answer, or to a stream's first event */
-	pimento_usec_t
-		gap_objective; /* longest pause between a stream's events */
+	/* Target time to the answer, or to the first event of a stream. */
+	pimento_usec_t objective;
+	/* Target for the longest pause between two events of a stream. */
+	pimento_usec_t gap_objective;
 	catalog_target_t *targets;
 	uint32_t target_count;
 } catalog_route_t;
 
-/* Less urgent priorities than so many share the last tier. */
+/* Maximum number of tiers; all less urgent priorities share the last one. */
 #define CATALOG_TIERS_MAX 8
 
 typedef struct catalog_service {
 	char *name;
 	pimento_id_t key;
-	uint32_t connections_max; /* of all callers together, at one endpoint */
-	bool is_engine; /* a model engine that answers in streams */
+	/* Connections to one endpoint, over all callers. */
+	uint32_t connections_max;
+	bool is_engine; /* a model engine that streams its answers */
 } catalog_service_t;
 
 typedef struct catalog_account {
 	char *name;
-	pimento_id_t key; /* of the name */
-	bool has_priority; /* has a priority of its own, which goes first */
+	pimento_id_t key; /* hash of the name */
+	/* priority is set and takes precedence over the route's priority. */
+	bool has_priority;
 	uint32_t priority;
 	double tokens_per_second; /* 0: no quota */
-	double burst; /* tokens */
-	uint32_t
-		default_request_tokens; /* what a request without a size counts as */
+	double burst; /* tokens that the token bucket holds */
+	/* Tokens charged for a request that does not state its size. */
+	uint32_t default_request_tokens;
 	bool counts_requests; /* the quota counts requests, not tokens */
 } catalog_account_t;
 
 typedef struct catalog_key {
 	char *text;
-	uint32_t account;
+	uint32_t account; /* index in the catalog's accounts */
 } catalog_key_t;
 
 typedef struct catalog_limits {
@@ -88,37 +91,48 @@
 	catalog_limits_t limits;
 } catalog_t;
 
-/* An empty version with one holder. Returns NULL without memory. */
+/* Returns an empty version with one reference, or NULL if out of memory. */
 catalog_t *catalog_new(uint64_t version);
 catalog_t *catalog_retain(catalog_t *catalog);
-void catalog_release(catalog_t *catalog); /* NULL is allowed */
+/* Drops a reference and frees the version with the last one; NULL is allowed. */
+void catalog_release(catalog_t *catalog);
 
 /*
- * Appends a zeroed element and returns it; NULL without memory. The pointer
- * lasts until the next of its kind is added.
+ * Appends a zeroed element and returns it, or NULL if out of memory. The pointer
+ * is valid until the next element of the same kind is added.
  */
 catalog_route_t *catalog_add_route(catalog_t *catalog);
 catalog_target_t *catalog_add_target(catalog_route_t *route);
 catalog_service_t *catalog_add_service(catalog_t *catalog);
 catalog_account_t *catalog_add_account(catalog_t *catalog);
-/* Copies text. Returns 0 or PIMENTO_ENOMEM. */
+/*
+ * Adds a client key, whose text is copied; account is an index in the catalog's
+ * accounts. Returns 0 or PIMENTO_ENOMEM.
+ */
 int catalog_add_key(catalog_t *catalog, const char *text, uint32_t account);
 
-/* Sorts what is looked up; call once, before any lookup. */
+/*
+ * Assigns tiers and sorts keys and routes. Call after the last addition and
+ * before any lookup.
+ */
 void catalog_finalize(catalog_t *catalog);
 
 /*
- * The route of a request: of the routes of its host, the one with the longest
- * prefix of path. host may carry a port. NULL if there is none.
+ * Finds the route of a request: among the routes for its host, the one with the
+ * longest prefix of path. host may include a port. Returns NULL if there is
+ * none.
  */
 const catalog_route_t *catalog_find_route(const catalog_t *catalog,
 					  const char *host, const char *path);
-/* The account that holds a key; NULL if none does. */
+/* Finds the account that a client key belongs to; NULL if there is none. */
 const catalog_account_t *catalog_find_account(const catalog_t *catalog,
 					      const char *key);
 const catalog_service_t *catalog_find_service(const catalog_t *catalog,
 					      pimento_id_t key);
-/* One of the route's services, by weight; hash is that of the request. */
+/*
+ * Selects one of the route's services by weight; hash is a random number that
+ * the caller draws for each request. Returns 0 if the route has no service.
+ */
 pimento_id_t catalog_select_service(const catalog_route_t *route,
 				    uint64_t hash);
 
--- a/src/delta.c
+++ b/src/delta.c
@@ -1,13 +1,13 @@
 /*
- * A difference is a row of steps, each "copy so many bytes from this place of
- * the base" or "these bytes are new". Both texts are cut into tokens after
- * each newline or closing brace, which suits TOML and JSON alike; a table of
- * the base's tokens by hash finds where a token of the new text stood, and the
- * match is then carried on byte by byte. One pass over each text, so the time
- * grows with their length and not with its square.
+ * A delta is a sequence of operations: either copy a number of bytes from an
+ * offset in the base, or insert new bytes. Both texts are split into tokens
+ * after each newline or closing brace, which suits TOML and JSON alike. A hash
+ * table of the base's tokens finds the offset of a token of the new text, and
+ * the match is then extended byte by byte. Each text is passed over once, so the
+ * time is linear in their lengths, not quadratic.
  *
- * The result is only ever as good as the guess of where to copy from; that it
- * is right is checked by who applies it, by the digest of the whole text.
+ * The search may choose a poor offset to copy from, which makes a delta longer.
+ * Whoever applies a delta verifies the result by the digest of the whole text.
  */
 
 #include "delta.h"
@@ -18,8 +18,8 @@
 
 #define OP_COPY 1
 #define OP_INSERT 0
-#define COPY_MIN 16 /* a shorter copy op saves nothing */
-#define VARINT_BYTES_MAX 10 /* bytes of a number, seven bits each */
+#define COPY_MIN 16 /* bytes; a shorter copy operation saves nothing */
+#define VARINT_BYTES_MAX 10 /* encoded uint64_t, seven bits per byte */
 
 typedef struct buffer {
 	char *bytes;
@@ -29,7 +29,7 @@
 } buffer_t;
 
 typedef struct token_table {
-	uint32_t *offsets; /* of tokens in the base, plus one; 0 free */
+	uint32_t *offsets; /* offset of a base token plus 1; 0: free slot */
 	uint32_t mask;
 } token_table_t;
 
@@ -88,7 +88,10 @@
 	return n < length ? n + 1 : n;
 }
 
-/* The place of an equal token of the base, or the free one where it belongs. */
+/*
+ * Returns the slot of an equal token of the base, or the free slot where the
+ * token belongs.
+ */
 static uint32_t *token_table_find(const token_table_t *table, const char *base,
 				  size_t base_length, const char *token,
 				  size_t n)
@@ -123,7 +126,7 @@
 		uint32_t *slot =
 			token_table_find(table, base, length, base + at, n);
 
-		/* Equal tokens keep their first place only. */
+		/* Of equal tokens, only the first one's offset is stored. */
 		if (!*slot)
 			*slot = (uint32_t)at + 1;
 		at += n;
@@ -156,8 +159,9 @@
 }
 
 /*
- * Where the last copy ended is tried first: it finds the right one of many
- * equal tokens where only something in between has changed.
+ * Finds the bytes of the base to copy next. Tries the expected offset, after the
+ * end of the last copy, first: if only a few tokens have changed in between,
+ * this finds the right one of many equal tokens.
  */
 static size_t find_copy(const token_table_t *table, const char *base,
 			size_t base_length, const char *text, size_t length,
@@ -187,7 +191,7 @@
 		     const char *base, size_t base_length, const char *text,
 		     size_t length)
 {
-	size_t pending = 0; /* start of what is not yet written */
+	size_t pending = 0; /* start of the text not yet covered by an op */
 	size_t expected = 0;
 	size_t at = 0;
 
--- a/src/endpoint.c
+++ b/src/endpoint.c
@@ -1,9 +1,9 @@
 /*
- * Engines know no priorities: what was let in is served in its order and all
- * together. So whatever urgent requests may need tomorrow has to be kept free
- * today: less urgent tiers fill only a part of the slots, and their prompts
- * queue at the engine only up to a short span, since an urgent request's first
- * token waits for every prompt that was let in before it.
+ * Engines know no priorities: they run all admitted requests together and read
+ * their prompts in order of arrival. Capacity for urgent requests must therefore
+ * be reserved before they arrive. Less urgent tiers get only part of the slots,
+ * and their prompts may form only a short queue at the engine, because an urgent
+ * request's first token waits for all prompts admitted before it.
  */
 
 #include "endpoint.h"
@@ -11,28 +11,46 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define URGENT_RESERVE_DIVISOR \
-	8 /* one slot in so many is kept for more urgent tiers */
-#define URGENT_RESERVE_WAIT_MIN \
-	(100 * PIMENTO_MSEC) /* for a slot, that needs no reserve */
-#define PREFILL_QUEUE_MAX \
-	(300 * PIMENTO_MSEC) /* prompts that may queue there */
-/* A prompt may use up so small a part of the slack of answers in progress. */
+/*
+ * At an endpoint with two or more slots, one slot in this many, but at least
+ * one, is reserved for tier 0.
+ */
+#define URGENT_RESERVE_DIVISOR 8
+/* No slot is reserved for tier 0 if one is expected to free up sooner. */
+#define URGENT_RESERVE_WAIT_MIN (100 * PIMENTO_MSEC)
+/*
+ * Requests of tiers other than 0 are granted only while the engine needs at most
+ * this long to read the prompts that it has not read yet.
+ */
+#define PREFILL_QUEUE_MAX (300 * PIMENTO_MSEC)
+/*
+ * A prompt may use only part of the slack of the answers in progress: their
+ * slack must be at least this multiple of the time that the prompt takes.
+ */
 #define PREFILL_SLACK_FACTOR 2.0
 /*
- * An answer takes so much longer beside prompts that are read meanwhile. If it
- * were granted with less time left, no prompt could be let in beside it, and
- * the engine would make few answers at once, which is the costly way.
+ * An answer takes this much longer if prompts are read in the meantime. If a
+ * request were granted with less time left, no prompt could be admitted beside
+ * it, and the engine would generate few answers at once, which wastes capacity.
  */
 #define BATCHED_DECODE_SLOWDOWN 2.5
-/* Half of a service's answers take longer than the mean. */
+/*
+ * Factor on a plain service's mean time to an answer, because half of the
+ * answers take longer than the mean.
+ */
 #define SERVICE_TIME_MARGIN 1.25
-#define REMAINING_TOKENS_DIVISOR \
-	10 /* of an estimate, still to come when it is reached */
-#define MEMORY_FULL_HOLD_TIME \
-	(1500 * PIMENTO_MSEC) /* until the next word is due */
-#define MEMORY_FULL_WAIT (5 * PIMENTO_SEC) /* a guess: until some answer ends */
+/*
+ * An answer near or beyond its estimated length is assumed to have one tenth of
+ * the estimate still to come.
+ */
+#define REMAINING_TOKENS_DIVISOR 10
+/* Covers the time until the next progress report on the request is due. */
+#define MEMORY_FULL_HOLD_TIME (1500 * PIMENTO_MSEC)
+/* Estimated time until an answer ends and frees memory of a full engine. */
+#define MEMORY_FULL_WAIT (5 * PIMENTO_SEC)
+/* The peak of running requests covers the last one to two windows. */
 #define PEAK_WINDOW (30 * PIMENTO_SEC)
+/* Lifetime of the external load derived from an endpoint's load report. */
 #define EXTERNAL_RUNNING_TTL (10 * PIMENTO_SEC)
 
 owner_endpoint_t *endpoint_new(const config_endpoint_t *description,
@@ -75,7 +93,7 @@
 	return now < e->external_running_until ? e->external_running : 0;
 }
 
-/* Until the first of the slots in use is free again. */
+/* Estimated time until the first of the slots in use is released. */
 static pimento_usec_t next_slot_wait(const owner_endpoint_t *e)
 {
 	uint32_t mean = (uint32_t)(e->running_tokens / e->running);
@@ -108,7 +126,10 @@
 	return (uint64_t)r->params.prompt_tokens + r->params.answer_tokens;
 }
 
-/* Of two owners on the sides of a cut each fills only its slot_share. */
+/*
+ * Scales tokens up so that this owner uses only its share of the token limit:
+ * in a network partition, each side has an owner for the same endpoint.
+ */
 static uint64_t scale_by_weight(const owner_endpoint_t *e, uint64_t tokens)
 {
 	return (uint64_t)((double)tokens / e->weight);
@@ -132,9 +153,10 @@
 }
 
 /*
- * While an engine reads a long prompt it hardly makes tokens, so each prompt
- * let in puts off all answers in progress. One prompt after another would keep
- * them from ever being done in time; an answer's slack says how much it bears.
+ * While an engine reads a long prompt, it generates hardly any tokens, so each
+ * prompt that is admitted delays all answers in progress. A steady sequence of
+ * prompts would make those answers miss their deadlines. A prompt is admitted
+ * only if the slack of each answer of the same or a more urgent tier allows it.
  */
 static bool slack_allows_prefill(const owner_endpoint_t *e, pimento_usec_t now,
 				 uint8_t tier, pimento_usec_t prefill_span)
@@ -190,9 +212,9 @@
 }
 
 /*
- * A rate that is only guessed counts as no time at all. Else an endpoint whose
- * every caller wants more than the guess allows refuses them all as too late,
- * and never learns that it is faster.
+ * A rate that has not been measured counts as zero time. Otherwise, if the
+ * initial estimate is too slow for the deadlines of all callers, the endpoint
+ * would refuse every request and its actual speed would never be measured.
  */
 pimento_usec_t endpoint_service_time(const owner_endpoint_t *e,
 				     const message_reserve_t *request)
@@ -289,10 +311,11 @@
 }
 
 /*
- * An engine whose memory is full lets nothing more into its batch, and what it
- * gets waits inside in order of arrival, urgent or not. It shows as a request
- * without a first token long after its prompt should have been read. Until
- * that one has it, others are better off elsewhere.
+ * An engine whose memory is full adds no request to its batch; further requests
+ * wait inside the engine in order of arrival, regardless of their tier. The sign
+ * of this is a request without a first token long after its prompt should have
+ * been read. Until its first token, other requests are better served by another
+ * endpoint.
  */
 void endpoint_check_first_token(owner_endpoint_t *e, pimento_usec_t now,
 				const reservation_t *r)
@@ -344,7 +367,7 @@
 	summary->waiting_tokens = e->prefill_tokens;
 	summary->prefill_rate = (float)limit_prefill_rate(&e->limit);
 	summary->decode_rate = (float)limit_decode_rate(&e->limit);
-	if (e->limit.service_mean > 0) /* a service: answers a second */
+	if (e->limit.service_mean > 0) /* plain service: answers per second */
 		summary->decode_rate = (float)(1 / e->limit.service_mean);
 	summary->leaving = e->leaving;
 }
--- a/src/endpoint.h
+++ b/src/endpoint.h
@@ -2,8 +2,9 @@
 #define ENDPOINT_H
 
 /*
- * One endpoint as its owner sees it: what waits, what is in flight, what was
- * learnt, and whether one more request fits.
+ * The state that an owner keeps for one endpoint: its wait queue, the
+ * reservations in flight and the measured limits and rates. Decides whether one
+ * more request fits, and estimates wait and service times.
  */
 
 #include "limit.h"
@@ -12,75 +13,94 @@
 struct owner_endpoint {
 	config_endpoint_t config;
 	uint64_t epoch;
-	double weight; /* share that this owner may use */
-	bool leaving;
-	queue_t queue;
+	double weight; /* share of the limits that this owner may use, 0 to 1 */
+	bool leaving; /* grants no new requests */
+	queue_t queue; /* requests waiting for a slot at this endpoint */
 	limit_t limit;
-	reservation_t *in_flight; /* newest first */
-	uint32_t running; /* in flight, granted ones included */
-	uint32_t prefill_tokens; /* prompt tokens granted and not yet read */
-	uint64_t running_tokens; /* still to be made, as estimated */
-	uint64_t in_flight_tokens; /* of prompts and answers in flight */
-	uint32_t external_running; /* in flight, but not through this owner */
-	pimento_usec_t external_running_until;
-	pimento_usec_t
-		memory_full_until; /* it seems to have no room for tokens */
-	uint32_t peak; /* most in flight lately, to judge late reports by */
-	uint32_t previous_peak;
+	reservation_t *in_flight; /* granted reservations, newest first */
+	uint32_t running; /* requests granted or in flight */
+	/* Tokens of granted prompts that the endpoint has not read yet. */
+	uint32_t prefill_tokens;
+	uint64_t running_tokens; /* estimated answer tokens still to come */
+	uint64_t in_flight_tokens; /* tokens of prompts and estimated answers */
+	uint32_t external_running; /* requests not granted by this owner */
+	pimento_usec_t external_running_until; /* expiry of external_running */
+	/* Until when the engine's memory is assumed to be full of tokens. */
+	pimento_usec_t memory_full_until;
+	/*
+	 * Maximum of running in the current window. Load reports may describe
+	 * an earlier moment, so they are compared with the recent maximum.
+	 */
+	uint32_t peak;
+	uint32_t previous_peak; /* maximum of running in the window before */
 	pimento_usec_t peak_window_start;
-	/* Until when nothing less urgent than this tier may wait. */
+	/* Until when requests less urgent than a tier are not queued, by tier. */
 	pimento_usec_t tier_floor_until[PIMENTO_TIERS_MAX];
 };
 
 owner_endpoint_t *endpoint_new(const config_endpoint_t *description,
 			       uint64_t epoch, double weight);
-/* Frees it; nothing may wait or be in flight any more. */
+/* Frees an endpoint; no request may be queued or in flight there. */
 void endpoint_free(owner_endpoint_t *endpoint);
 
-/* True when both serve the same model or service. */
+/* True if both endpoints serve the same model or service. */
 bool endpoint_same_target(const owner_endpoint_t *a, const owner_endpoint_t *b);
 
-/* Slots that a tier may fill. */
+/* Returns the number of slots at the endpoint that a tier may use. */
 uint32_t endpoint_tier_slots(const owner_endpoint_t *endpoint,
 			     pimento_usec_t now, uint8_t tier);
 
-/* True if this request may be in flight now beside what already is. */
+/* True if the request may be granted now, given the requests in flight. */
 bool endpoint_fits(const owner_endpoint_t *endpoint, pimento_usec_t now,
 		   const reservation_t *r);
 
-/* False while the endpoint's speed is only guessed: it then refuses nothing. */
+/*
+ * False until the endpoint's speed has been measured; until then, no request is
+ * refused because it could not finish by its deadline.
+ */
 bool endpoint_speed_measured(const owner_endpoint_t *e);
 
-/* Span that the request would take, if granted now. */
+/* Estimated time from the grant of the request, if granted now, to its end. */
 pimento_usec_t endpoint_service_time(const owner_endpoint_t *endpoint,
 				     const message_reserve_t *request);
 
-/* Part of the endpoint's time that the request uses up. */
+/* Part of the endpoint's time that the request would consume. */
 pimento_usec_t endpoint_busy_time(const owner_endpoint_t *endpoint,
 				  const message_reserve_t *request);
 
-/* Span until a request put into the line of this tier now is granted. */
+/* Estimated wait until the grant of a request of this tier queued now. */
 pimento_usec_t endpoint_wait_time(const owner_endpoint_t *endpoint,
 				  pimento_usec_t now, uint8_t tier);
 
+/* Load at the endpoint, scaled to the owner's share of the token limit. */
 limit_load_t endpoint_load(const owner_endpoint_t *endpoint);
 
-/* Counts a reservation in, and out of, what is in flight. */
+/* Adds a reservation to those in flight, and removes it. */
 void endpoint_add_reservation(owner_endpoint_t *endpoint, pimento_usec_t now,
 			      reservation_t *r);
 void endpoint_remove_reservation(owner_endpoint_t *endpoint, reservation_t *r);
 
-/* The reservation's first token came: its prompt is read. */
+/*
+ * Records that the reservation's first token has been received, which means that
+ * the endpoint has read its prompt.
+ */
 void endpoint_prefill_done(owner_endpoint_t *endpoint, reservation_t *r);
 
-/* The reservation still has no first token. */
+/*
+ * Called while a reservation has no first token. If it is long overdue, the
+ * engine's memory is taken to be full, and grants are suspended for a while.
+ */
 void endpoint_check_first_token(owner_endpoint_t *endpoint, pimento_usec_t now,
 				const reservation_t *r);
 
-/* More of the answer came. */
+/* Records the number of answer tokens received so far. */
 void endpoint_update_answered(owner_endpoint_t *endpoint, reservation_t *r,
 			      uint32_t answered);
 
+/*
+ * Derives from an endpoint's load report how many of its requests were not
+ * granted by this owner.
+ */
 void endpoint_apply_load_report(owner_endpoint_t *endpoint, pimento_usec_t now,
 				const load_report_t *report);
 
--- a/src/heap.c
+++ b/src/heap.c
@@ -1,6 +1,6 @@
 /*
- * A binary heap in an array. Every move of an entry writes the new index into
- * the item, which is what makes removal from the middle possible.
+ * A binary heap in an array. Every move of an entry stores its new index in the
+ * item, so that an item in the middle can be found and removed.
  */
 
 #include "heap.h"
--- a/src/hostlist.c
+++ b/src/hostlist.c
@@ -1,8 +1,8 @@
 /*
- * Parses the platform's host list. Keys that are not known are passed over,
- * for the list is the platform's and may grow; a host that is understood only
- * in part discards the whole list, because a list without it would move its
- * share of the endpoints to others.
+ * Parses the platform's host list. Unknown keys are ignored, because the format
+ * belongs to the platform and may be extended. If a host's entry is invalid, the
+ * whole list is rejected, because a list without this host would move its share
+ * of the endpoints to other hosts.
  */
 
 #include "config.h"
@@ -61,7 +61,10 @@
 	return true;
 }
 
-/* Stores whether the value is the second word; false if it is neither. */
+/*
+ * Sets *to to whether the text under key equals yes. Returns false if it equals
+ * neither yes nor no.
+ */
 static bool copy_choice(const json_t *host, const char *key, const char *no,
 			const char *yes, bool *to)
 {
@@ -83,10 +86,10 @@
 				 "must be a name");
 	if (!copy_address(host, to))
 		add_host_problem(problems, index, "address",
-				 "must be an IP number");
+				 "must be an IPv4 or IPv6 address");
 	if (!copy_port(host, to))
 		add_host_problem(problems, index, "port",
-				 "must lie between 1 and 65535");
+				 "must be an integer between 1 and 65535");
 	if (!copy_choice(host, "role", "entry", "endpoint", &to->is_endpoint))
 		add_host_problem(problems, index, "role",
 				 "must be \"entry\" or \"endpoint\"");
@@ -116,7 +119,7 @@
 	for (uint32_t i = 1; i < list->count; i++)
 		if (ids[i] == ids[i - 1])
 			problems_add(problems, FILE_NAME, 0, "hosts",
-				     "a name stands twice");
+				     "two hosts have the same name");
 	free(ids);
 	return PIMENTO_OK;
 }
@@ -145,9 +148,10 @@
 
 	if (!json_is_integer(revision) || json_integer_value(revision) < 0)
 		problems_add(problems, FILE_NAME, 0, "revision",
-			     "must be a whole number from 0");
+			     "must be an integer of at least 0");
 	if (!json_is_array(hosts)) {
-		problems_add(problems, FILE_NAME, 0, "hosts", "must be a list");
+		problems_add(problems, FILE_NAME, 0, "hosts",
+			     "must be an array");
 		return PIMENTO_EPARSE;
 	}
 	list->revision = (uint64_t)json_integer_value(revision);
--- a/src/progress.c
+++ b/src/progress.c
@@ -1,7 +1,10 @@
 #include "progress.h"
 
-/* A transfer may take START_GRACE plus the time for its bytes at BYTES_PER_SECOND_MIN. */
-#define BYTES_PER_SECOND_MIN ((pimento_usec_t)65536) /* bytes per second */
+/*
+ * A transfer may take START_GRACE plus the time that its bytes received so far
+ * need at BYTES_PER_SECOND_MIN.
+ */
+#define BYTES_PER_SECOND_MIN ((pimento_usec_t)65536)
 #define START_GRACE (2 * PIMENTO_SEC)
 
 void progress_begin(progress_t *progress, pimento_usec_t now)
--- a/src/registry.c
+++ b/src/registry.c
@@ -1,6 +1,6 @@
 /*
- * A plain array: the largest deployment lists 600 endpoints, and a walk over
- * them costs less than slots an index true.
+ * The table of endpoints is a plain array: the largest deployment lists 600, and
+ * a linear search costs less than keeping an index up to date.
  */
 
 #include "registry.h"
@@ -142,7 +142,10 @@
 	endpoint->report = *report;
 	endpoint->own_running_at_report = endpoint->running;
 	endpoint->report_at = at;
-	/* The owner hears from all hosts; this one has seen a few streams. */
+	/*
+	 * The owner's event gap is based on reports from all hosts; this host
+	 * has seen only a few streams.
+	 */
 	if (report->event_gap_us)
 		endpoint->latency.event_gap_us = report->event_gap_us;
 	if (report->ejected_ms && endpoint->latency.ejected_until < ejected)
--- a/src/registry.h
+++ b/src/registry.h
@@ -2,59 +2,71 @@
 #define REGISTRY_H
 
 /*
- * The endpoints that the platform lists, with what this host has in flight
- * there and what it has learnt of them. An endpoint that has left stays in the
- * table until the last request and connection that points at it is gone.
+ * A host's table of the endpoints that the platform lists. Each entry holds the
+ * endpoint's record, the host's requests in flight there, the latest report from
+ * the endpoint's owner and the endpoint's latency model. A removed endpoint
+ * stays in the table until the last request or connection that refers to it has
+ * ended.
  */
 
 #include "latency.h"
 
-/* What the owner of an endpoint says of it. */
+/* State of an endpoint as reported by its owner. */
 typedef struct registry_report {
-	uint32_t running; /* requests in flight, of all hosts */
-	uint32_t waiting; /* in its line */
-	uint32_t event_gap_us; /* between events of a stream there; 0 unknown */
-	uint32_t ejected_ms; /* gets no new work for so long */
-	bool unreachable; /* was not reached, and has not answered since */
+	uint32_t running; /* requests in flight from all hosts */
+	uint32_t waiting; /* requests in the owner's wait queue */
+	uint32_t event_gap_us; /* time between events of a stream; 0: unknown */
+	uint32_t ejected_ms; /* remaining time of its ejection; 0: none */
+	/*
+	 * The owner could not reach the endpoint and has had no answer from it
+	 * since, or the endpoint fails too often.
+	 */
+	bool unreachable;
 } registry_report_t;
 
 typedef struct registry_endpoint {
 	char id[PIMENTO_NAME_MAX];
-	pimento_id_t key; /* of the id */
-	pimento_id_t service; /* of the service's name */
+	pimento_id_t key; /* hash of id */
+	pimento_id_t service; /* id of the service's name */
 	char address[24]; /* numeric IPv4 */
 	uint16_t port;
 	char datacentre[PIMENTO_NAME_MAX];
-	uint32_t slots; /* requests that it runs at once */
-	int64_t started_at_ms; /* start of its process, ms since 1970; 0 unknown */
-	uint32_t incarnation; /* goes up when a new process takes over the id */
-	uint64_t revision; /* of the record that this was read from */
-	bool listed; /* in the platform's list */
-	bool leaving; /* takes no new work */
-	pimento_usec_t removal_at; /* not listed any more: leaves then; 0 no */
-	uint32_t refs; /* requests and connections that point here */
+	uint32_t slots; /* requests that the endpoint can run concurrently */
+	int64_t started_at_ms; /* process start, ms since 1970; 0: unknown */
+	/* Incremented when a new process takes over the id. */
+	uint32_t incarnation;
+	uint64_t revision; /* revision of the endpoint's record */
+	bool listed; /* present in the platform's list */
+	bool leaving; /* accepts no new requests */
+	/* When an unlisted endpoint stops accepting requests; 0: listed. */
+	pimento_usec_t removal_at;
+	uint32_t refs; /* requests and connections that refer here */
 	uint32_t running; /* requests in flight from this host */
-	uint32_t
-		pending_prompt_tokens; /* tokens of prompts that are not answered yet */
-	uint32_t remote_running; /* both, of all peers, as they last said */
+	/* Prompt tokens of this host's requests without an answer so far. */
+	uint32_t pending_prompt_tokens;
+	/* Requests in flight from other hosts, as last reported. */
+	uint32_t remote_running;
+	/* Pending prompt tokens from other hosts, as last reported. */
 	uint32_t remote_prompt_tokens;
 	registry_report_t report;
-	uint32_t
-		own_running_at_report; /* running from this host, at that moment */
-	pimento_usec_t report_at; /* 0 never */
-	pimento_usec_t owner_unresponsive_until; /* it did not answer lately */
-	uint32_t owner; /* cached address; good for owner_epoch */
+	uint32_t own_running_at_report; /* this host's requests at report_at */
+	pimento_usec_t report_at; /* arrival of the owner's report; 0: none */
+	/* The owner did not reply in time; no slot requests until then. */
+	pimento_usec_t owner_unresponsive_until;
+	uint32_t owner; /* cached address of the owner, valid for owner_epoch */
+	/* Change count of owners for which owner is valid; 0: none. */
 	uint64_t owner_epoch;
-	uint32_t reported_running; /* running, as last reported to the owner */
+	uint32_t reported_running; /* value of running last sent to the owner */
+	/* Last report from this host to the owner; 0: report is due now. */
 	pimento_usec_t reported_at;
 	latency_model_t latency;
-	uint32_t idle_connections; /* open, with no request */
-	void *connections; /* of the I/O layer, which alone looks at it */
+	uint32_t idle_connections; /* open connections without a request */
+	void *connections; /* connection pool, private to the I/O layer */
 } registry_endpoint_t;
 
 typedef struct registry_service {
 	pimento_id_t key;
-	bool queues_requests; /* its endpoints queue requests, and are no engines */
+	bool queues_requests; /* a plain service, whose endpoints queue requests */
 	latency_service_t latency;
 } registry_service_t;
 
@@ -62,13 +74,13 @@
 	registry_endpoint_t **endpoints;
 	uint32_t count;
 	uint32_t capacity;
-	registry_service_t **services; /* kept for good; a few */
+	registry_service_t **services; /* only a few, never removed */
 	uint32_t service_count;
-	/* Told before an endpoint is freed, to give connections back; or NULL. */
+	/* Called before an endpoint is freed, to close connections; or NULL. */
 	void (*on_endpoint_free)(registry_endpoint_t *endpoint);
 } registry_t;
 
-/* What a record says of an endpoint; texts are borrowed for the call. */
+/* Fields of an endpoint's record; strings are borrowed during the call. */
 typedef struct registry_record {
 	const char *id;
 	const char *service;
@@ -85,31 +97,34 @@
 void registry_finish(registry_t *registry);
 
 /*
- * Enters or changes an endpoint. A record with another birth is another
- * process: what was learnt is forgotten and life goes up. Returns NULL without
- * memory.
+ * Adds or updates an endpoint from its record. A different start time, address
+ * or port means a new process: the latency model is reset and incarnation is
+ * incremented. Returns NULL if out of memory.
  */
 registry_endpoint_t *registry_put(registry_t *registry,
 				  const registry_record_t *record);
 
-/* The endpoint is not listed any more; it takes no new work from removal_at. */
+/*
+ * Records that the platform no longer lists the endpoint. It accepts no new
+ * requests from removal_at on.
+ */
 void registry_schedule_removal(registry_t *registry, const char *id,
 			       pimento_usec_t removal_at);
 
 registry_endpoint_t *registry_find(const registry_t *registry,
 				   pimento_id_t key);
-/* Never NULL but without memory. */
+/* Finds a service, or adds it; returns NULL only if out of memory. */
 registry_service_t *registry_get_service(registry_t *registry,
 					 pimento_id_t key);
 
-/* Takes the report that an endpoint's owner said at a time. */
+/* Applies a report from an endpoint's owner, received at the given time. */
 void registry_apply_report(registry_endpoint_t *endpoint,
 			   const registry_report_t *report, pimento_usec_t at);
 
-/* Drops endpoints that are gone and that nobody holds. */
+/* Frees endpoints whose removal is due and that nothing refers to. */
 void registry_free_removed(registry_t *registry, pimento_usec_t now);
 
-/* True if the endpoint may be given new work. */
+/* True if new requests may be sent to the endpoint. */
 bool registry_endpoint_accepts_work(const registry_endpoint_t *endpoint,
 				    pimento_usec_t now);
 
--- a/src/replica.c
+++ b/src/replica.c
@@ -1,7 +1,8 @@
 /*
- * Removed records stay as tombstones, because an older put for the same key
- * may still arrive from a peer; a day has a few thousand changes at most, and a
- * tombstone is a key and a number.
+ * Removed records stay in the replica as tombstones, because an older put for
+ * the same key may still arrive from a peer. They are kept for the lifetime of
+ * the replica: there are at most a few thousand changes per day, and a tombstone
+ * holds only a key and a revision.
  */
 
 #include "replica.h"
@@ -10,8 +11,9 @@
 #include <string.h>
 
 /*
- * Endpoint records expire after three missed heartbeats. Live endpoints rewrite
- * theirs within two seconds of the end of a store outage.
+ * An endpoint's record expires after three missed heartbeats, so an outage of
+ * the store also expires the records of live endpoints. They rewrite their
+ * records within two seconds of the end of the outage.
  */
 #define STORE_OUTAGE_MIN (2500 * PIMENTO_MSEC)
 #define REMOVAL_GRACE (2 * PIMENTO_SEC)
@@ -44,7 +46,7 @@
 	free(replica->records);
 }
 
-/* The first record whose key is not less. */
+/* Returns the index of the first record whose key is not less than key. */
 static uint32_t lower_bound(const replica_t *replica, const char *key)
 {
 	uint32_t low = 0;
--- a/src/snapshot.c
+++ b/src/snapshot.c
@@ -6,13 +6,13 @@
 #include <string.h>
 #include <zlib.h>
 
-/* Smaller values are sent uncompressed. */
+/* Record values smaller than this are sent uncompressed. */
 #define COMPRESSION_MIN_BYTES 4096
 #define COMPRESSION_LEVEL Z_BEST_SPEED
 
 /*
- * Caches the compressed value if it is smaller. On failure, the value is sent
- * uncompressed.
+ * Compresses a record's value and caches the result if it is smaller. On
+ * failure, the value is sent uncompressed.
  */
 static void compress_value(replica_record_t *record)
 {
@@ -52,7 +52,11 @@
 	}
 }
 
-/* Excludes records beyond the copy's revision, which may lack earlier changes. */
+/*
+ * Excludes records newer than the replica's revision, because changes between
+ * that revision and theirs may be missing. A snapshot of all records (after is
+ * 0) needs no tombstones.
+ */
 static bool is_included(const replica_t *replica,
 			const replica_record_t *record, uint64_t after)
 {
@@ -123,7 +127,7 @@
 				   record->revision);
 	if (record->length)
 		return put_compressed(replica, record);
-	/* An empty value is not a removal, though it has no bytes. */
+	/* An empty value may have no data pointer; NULL would mean a removal. */
 	return replica_put(replica, record->key,
 			   record->value.len ? (const char *)record->value.data
 					     : "",
@@ -154,7 +158,7 @@
 
 	if (!snapshot)
 		return PIMENTO_EPARSE;
-	/* Records missing from an older snapshot must not be taken for removed. */
+	/* Records that an older snapshot lacks may have been added since. */
 	if (snapshot->revision <= replica->revision)
 		result = 0;
 	else if (snapshot->after <= replica->revision)
--- a/src/sse.c
+++ b/src/sse.c
@@ -2,7 +2,10 @@
 
 #include <string.h>
 
-/* An engine's event is some tokens long; this is a guard, not a limit. */
+/*
+ * Bounds the memory for an incomplete event, in bytes. An engine's events are
+ * only a few tokens long and stay far below it.
+ */
 #define SSE_EVENT_BYTES_MAX ((size_t)1024 * 1024)
 
 void sse_init(sse_t *sse)
@@ -32,7 +35,10 @@
 	sse->last_id[length] = '\0';
 }
 
-/* Reads one line; returns its length with its end, 0 if it is not complete. */
+/*
+ * Returns the length of the first line of text, line end included, or 0 if it is
+ * incomplete. Sets content to its length without the line end.
+ */
 static size_t line_length(const char *text, size_t length, size_t *content)
 {
 	const char *end = memchr(text, '\n', length);
@@ -45,7 +51,7 @@
 	return (size_t)(end - text) + 1;
 }
 
-/* Length of the event at the start of text; 0 if it is not complete. */
+/* Returns the length of the event at the start of text; 0 if incomplete. */
 static size_t event_length(const char *text, size_t length)
 {
 	size_t at = 0;
--- a/test/fuzz_snapshot.c
+++ b/test/fuzz_snapshot.c
@@ -1,4 +1,4 @@
-/* Applies arbitrary bytes as a snapshot and encodes the resulting copy. */
+/* Applies arbitrary bytes as a snapshot and encodes the resulting replica. */
 
 #include "snapshot.h"
 
--- a/test/test_catalog.c
+++ b/test/test_catalog.c
@@ -1,4 +1,4 @@
-/* Versions of the operator's configuration: routes, keys, and shares. */
+/* Tests lookups in a version of the operator's configuration. */
 
 #include "catalog.h"
 
@@ -52,6 +52,10 @@
 	{ "", "/x/", NULL },
 };
 
+/*
+ * Guards against picking a shorter path prefix than possible, and against
+ * matching hosts by a prefix, case-sensitively or together with the port.
+ */
 START_TEST(route_is_found_by_host_and_longest_prefix)
 {
 	const catalog_route_t *route = catalog_find_route(
@@ -85,7 +89,10 @@
 }
 END_TEST
 
-/* Guards against priorities of other steps than one, which would all look alike. */
+/*
+ * Guards against using priorities directly as tiers: priorities that are not
+ * consecutive, such as 10 and 500, would share the last tier.
+ */
 START_TEST(tiers_are_ranks_of_used_priorities)
 {
 	static const struct {
--- a/test/test_progress.c
+++ b/test/test_progress.c
@@ -1,4 +1,4 @@
-/* Detection of stalled transfers. */
+/* Tests the detection of stalled transfers. */
 
 #include "progress.h"
 
@@ -10,17 +10,17 @@
 static const struct {
 	const char *name;
 	int chunks;
-	int interval_ms; /* between chunks */
-	int wait_ms; /* after the last */
+	int interval_ms; /* time between chunks */
+	int wait_ms; /* idle time after the last chunk */
 	bool stalled;
 } transfer_cases[] = {
-	{ "no byte yet", 0, 0, 600, false },
-	{ "silent from the start", 0, 0, 800, true },
+	{ "no byte within the idle limit", 0, 0, 600, false },
+	{ "no byte beyond the idle limit", 0, 0, 800, true },
 	{ "1 MB at 600 KB/s", 64, 27, 0, false },
 	{ "16 MB at 600 KB/s", 1024, 27, 0, false },
-	{ "silent after half", 32, 27, 800, true },
-	{ "slow for a moment", 4, 400, 0, false },
-	{ "a trickle", 16, 500, 0, true },
+	{ "idle after half of 1 MB", 32, 27, 800, true },
+	{ "low rate within the start grace", 4, 400, 0, false },
+	{ "low rate beyond the start grace", 16, 500, 0, true },
 };
 
 /* Guards against aborting large transfers and against waiting for stalled ones. */
@@ -37,7 +37,8 @@
 	now += transfer_cases[_i].wait_ms * PIMENTO_MSEC;
 	ck_assert_msg(progress_stalled(&progress, IDLE_LIMIT_MS * PIMENTO_MSEC,
 				       now) == transfer_cases[_i].stalled,
-		      "%s", transfer_cases[_i].name);
+		      "%s: wrong result of progress_stalled()",
+		      transfer_cases[_i].name);
 }
 END_TEST
 
--- a/test/test_replica.c
+++ b/test/test_replica.c
@@ -1,4 +1,4 @@
-/* The copy of the published records: what may change it, and its freshness. */
+/* Tests which changes a replica of published records accepts, and its age. */
 
 #include "replica.h"
 
@@ -43,9 +43,9 @@
 }
 
 /*
- * A read that the store serves from an old copy, or a peer that has been away,
- * states what was true before. Operators would see a route that they removed
- * come back.
+ * Guards against applying outdated records from a stale read of the store or
+ * from a peer that was disconnected: a route that operators removed would
+ * reappear.
  */
 START_TEST(stale_record_is_ignored)
 {
@@ -60,9 +60,9 @@
 END_TEST
 
 /*
- * An endpoint leaves, and a peer that has not heard of it states its record
- * once more. Requests would go to an address where nobody answers, or somebody
- * else does.
+ * Guards against restoring the record of a removed endpoint from a peer that has
+ * not received the removal: requests would be sent to an address that is unused
+ * or that another process uses.
  */
 START_TEST(stale_put_does_not_undo_removal)
 {
@@ -73,6 +73,7 @@
 }
 END_TEST
 
+/* Guards against keeping endpoints whose removal was never received. */
 START_TEST(listing_removes_missing_records)
 {
 	put("servers/a", "1", 1);
@@ -86,8 +87,9 @@
 END_TEST
 
 /*
- * While the pages of a listing come in, an endpoint registers. It stands on no
- * page that was read before, but is newer than the listing.
+ * Guards against removing an endpoint that registers while the pages of a
+ * listing are read: it is on none of the pages read before, but its record is
+ * newer than the listing.
  */
 START_TEST(listing_keeps_newer_records)
 {
@@ -106,7 +108,7 @@
 	put("servers/a", "read before it changed at 6", 2);
 	put("servers/b", "1", 9);
 	ck_assert_int_eq(replica_list_end(&replica, 4), 0);
-	replica_confirm(&replica, 9, 50); /* a peer that holds both changes */
+	replica_confirm(&replica, 9, 50); /* by a peer with both changes */
 	ck_assert_int_eq(replica_age(&replica, 100), PIMENTO_NEVER);
 	put("servers/a", "2", 6);
 	put("servers/b", "1", 9);
@@ -115,11 +117,15 @@
 }
 END_TEST
 
+/*
+ * Guards against counting a replica as fresh when a read covered changes that
+ * the replica lacks.
+ */
 START_TEST(confirmation_requires_complete_replica)
 {
 	ck_assert_int_eq(replica_age(&replica, 100), PIMENTO_NEVER);
 	put("op/config", "x", 5);
-	replica_confirm(&replica, 6, 50); /* of a newer copy than ours */
+	replica_confirm(&replica, 6, 50); /* of a newer replica */
 	ck_assert_int_eq(replica_age(&replica, 100), PIMENTO_NEVER);
 	replica_confirm(&replica, 5, 50);
 	ck_assert_int_eq(replica_age(&replica, 100), 50);
@@ -132,19 +138,26 @@
 	const char *name;
 	int answered_ms[4]; /* starts of reads that the store answered */
 	int count;
-	int removed_ms;
-	int gone_ms;
+	int removed_ms; /* when the removal is received */
+	int gone_ms; /* when the removal takes effect */
 } removal_cases[] = {
-	{ "the first read", { 0 }, 1, 0, 0 },
+	{ "first read", { 0 }, 1, 0, 0 },
 	{ "no outage", { 0, 1000, 2000, 3000 }, 4, 3100, 3100 },
-	{ "an outage of three seconds", { 0, 3000 }, 2, 3000, 5000 },
-	{ "a second after it", { 0, 3000, 4000 }, 3, 4000, 5000 },
-	{ "long after it", { 0, 3000, 5000 }, 3, 6000, 6000 },
-	{ "peers were answered meanwhile", { 0, 1500, 3000 }, 3, 3000, 3000 },
-	{ "an older answer is heard late", { 0, 3000, 1500 }, 3, 3000, 5000 },
+	{ "removal at the end of a 3 s outage", { 0, 3000 }, 2, 3000, 5000 },
+	{ "removal 1 s after a 3 s outage", { 0, 3000, 4000 }, 3, 4000, 5000 },
+	{ "removal 3 s after a 3 s outage", { 0, 3000, 5000 }, 3, 6000, 6000 },
+	{ "outage for this host only", { 0, 1500, 3000 }, 3, 3000, 3000 },
+	{ "delayed report of an older answer",
+	  { 0, 3000, 1500 },
+	  3,
+	  3000,
+	  5000 },
 };
 
-/* Guards against using removed endpoints and against dropping live ones. */
+/*
+ * Guards against sending requests to removed endpoints, and against dropping
+ * live endpoints whose records expired during an outage of the store.
+ */
 START_TEST(removal_is_delayed_only_after_store_outage)
 {
 	pimento_usec_t gone;
@@ -157,14 +170,15 @@
 	}
 	gone = replica_removal_time(&replica, removal_cases[_i].removed_ms *
 						      PIMENTO_MSEC);
-	ck_assert_msg(gone == removal_cases[_i].gone_ms * PIMENTO_MSEC, "%s",
+	ck_assert_msg(gone == removal_cases[_i].gone_ms * PIMENTO_MSEC,
+		      "%s: removal takes effect at the wrong time",
 		      removal_cases[_i].name);
 }
 END_TEST
 
 int main(void)
 {
-	Suite *suite = suite_create("mirror");
+	Suite *suite = suite_create("replica");
 	TCase *tests = tcase_create("all");
 	SRunner *runner;
 	int failed;
--- a/test/test_snapshot.c
+++ b/test/test_snapshot.c
@@ -1,4 +1,4 @@
-/* Exchange of records between the copies of two hosts. */
+/* Tests the transfer of records between the replicas of two hosts. */
 
 #include "snapshot.h"
 
@@ -11,7 +11,7 @@
 
 static replica_t source;
 static replica_t target;
-static uint32_t changes; /* applied to the target copy */
+static uint32_t changes; /* changes applied to the target replica */
 
 static void count(void *context, const replica_record_t *record)
 {
@@ -55,7 +55,10 @@
 	return NULL;
 }
 
-/* Returns the result of snapshot_apply(); sets length to the encoded size. */
+/*
+ * Sends a snapshot from source to target. Returns the result of
+ * snapshot_apply() and sets length to the encoded size in bytes.
+ */
 static int transfer(size_t *length)
 {
 	uint8_t *bytes;
@@ -68,7 +71,7 @@
 	return result;
 }
 
-/* Returns a text whose compression ratio is similar to that of routes. */
+/* Returns a text that compresses about as well as route records. */
 static char *large_text(void)
 {
 	char *text = malloc(LARGE_BYTES + 1);
@@ -83,7 +86,7 @@
 	return text;
 }
 
-/* Guards against sending all records for each change. */
+/* Guards against sending all records of a collection for each change. */
 START_TEST(snapshot_holds_only_changes)
 {
 	char *large = large_text();
@@ -131,14 +134,14 @@
 END_TEST
 
 static const struct {
-	uint64_t held; /* revision of the target copy */
-	bool kept; /* the record missing from the listing */
+	uint64_t held; /* revision of the target replica */
+	bool kept; /* the target keeps the record that was not listed */
 } listing_cases[] = {
-	{ 3, false }, /* removals before the listing are unknown */
-	{ 7, true }, /* up to date with the listing's removals */
+	{ 3, false }, /* source does not know all later removals */
+	{ 7, true }, /* source knows all later removals */
 };
 
-/* Guards against keeping a record whose removal the sender did not observe. */
+/* Guards against keeping a record whose removal the sender never received. */
 START_TEST(replica_older_than_listing_gets_all_records)
 {
 	size_t length;
@@ -158,7 +161,10 @@
 }
 END_TEST
 
-/* Guards against sending a record without the changes that precede it. */
+/*
+ * Guards against sending a record without the changes that precede it: the
+ * receiver would count as complete up to that record's revision.
+ */
 START_TEST(records_beyond_complete_revision_are_not_sent)
 {
 	size_t length;
--- a/test/test_sse.c
+++ b/test/test_sse.c
@@ -1,4 +1,4 @@
-/* Streams are split into complete events wherever their bytes are cut. */
+/* Tests that event streams are split into complete events. */
 
 #include "sse.h"
 
@@ -13,6 +13,7 @@
 
 #define COMPLETE_BYTES (sizeof(stream) - 1 - strlen("id: 3\ndata: cut"))
 
+/* Guards against losing or merging events that span received chunks. */
 START_TEST(split_points_do_not_change_events)
 {
 	sse_t sse;
@@ -55,6 +56,7 @@
 }
 END_TEST
 
+/* Guards against overflowing last_id, and against storing a truncated id. */
 START_TEST(oversized_id_is_ignored)
 {
 	char text[SSE_ID_MAX + 16] = "id: ";
@@ -71,7 +73,7 @@
 
 int main(void)
 {
-	Suite *suite = suite_create("events");
+	Suite *suite = suite_create("sse");
 	TCase *tests = tcase_create("all");
 	SRunner *runner;
 	int failed;
