--- a/src/config_sync.c
+++ b/src/config_sync.c
@@ -29,7 +29,7 @@
 #define READ_INTERVAL_MIN (30 * PIMENTO_SEC)
 #define READ_INTERVAL_PER_HOST (500 * PIMENTO_MSEC)
 
-typedef struct held {
+typedef struct text_version {
 	uint64_t revision; /* 0 none */
 	uint64_t digest;
 	char *text; /* NUL-terminated */
@@ -73,10 +73,10 @@
 	fetch_t fetch;
 };
 
-static void text_version_finish(text_version_t *held)
+static void text_version_finish(text_version_t *version)
 {
-	free(held->text);
-	memset(held, 0, sizeof(*held));
+	free(version->text);
+	memset(version, 0, sizeof(*version));
 }
 
 static void fetch_reset(fetch_t *fetch)
@@ -130,7 +130,7 @@
 }
 
 /* Newest revision that is here already. */
-static uint64_t newest(const config_sync_document_t *doc)
+static uint64_t newest_revision(const config_sync_document_t *doc)
 {
 	if (doc->pending.revision > doc->current.revision)
 		return doc->pending.revision;
@@ -146,8 +146,8 @@
 	return NULL;
 }
 
-static bool rejected(const config_sync_document_t *doc, uint64_t revision,
-		     uint64_t digest)
+static bool is_rejected(const config_sync_document_t *doc, uint64_t revision,
+			uint64_t digest)
 {
 	const rejection_t *r = find_rejection(doc, revision);
 
@@ -163,8 +163,8 @@
 	text_version_finish(&doc->pending);
 }
 
-static void pull(config_sync_t *config_sync, pimento_usec_t now,
-		 unsigned int subject)
+static void send_pull(config_sync_t *config_sync, pimento_usec_t now,
+		      unsigned int subject)
 {
 	config_sync_document_t *doc = find_document(config_sync, subject);
 	message_t message = { .kind = MESSAGE_PULL };
@@ -199,7 +199,7 @@
 /* Another source of at least this revision than the one given, or that one. */
 static pimento_id_t alternative_source(config_sync_t *config_sync,
 				       const config_sync_document_t *doc,
-				       uint64_t revision, pimento_id_t not_this)
+				       uint64_t revision, pimento_id_t excluded)
 {
 	uint32_t start = (uint32_t)pimento_random_below(&config_sync->random,
 							SOURCES_MAX);
@@ -207,10 +207,10 @@
 	for (uint32_t i = 0; i < SOURCES_MAX; i++) {
 		const source_t *h = &doc->sources[(start + i) % SOURCES_MAX];
 
-		if (h->host && h->host != not_this && h->revision >= revision)
+		if (h->host && h->host != excluded && h->revision >= revision)
 			return h->host;
 	}
-	return not_this;
+	return excluded;
 }
 
 static void fetch_start(config_sync_t *config_sync, pimento_usec_t now,
@@ -222,7 +222,7 @@
 	fetch_reset(&doc->fetch);
 	doc->fetch.revision = revision;
 	doc->fetch.from = from;
-	pull(config_sync, now, subject);
+	send_pull(config_sync, now, subject);
 }
 
 static void fetch_restart(config_sync_t *config_sync, pimento_usec_t now,
@@ -234,7 +234,7 @@
 	f->bytes = NULL;
 	f->received = 0;
 	f->full = f->full || full;
-	pull(config_sync, now, subject);
+	send_pull(config_sync, now, subject);
 }
 
 /* After one text was taken over, an even newer one may be known of. */
@@ -247,7 +247,7 @@
 	for (uint32_t i = 0; i < SOURCES_MAX; i++) {
 		const source_t *h = &doc->sources[i];
 
-		if (h->revision > newest(doc) &&
+		if (h->revision > newest_revision(doc) &&
 		    !find_rejection(doc, h->revision) &&
 		    (!best || h->revision > best->revision))
 			best = h;
@@ -266,9 +266,9 @@
 		peer;
 }
 
-static void offer(config_sync_t *config_sync, unsigned int subject)
+static void send_offers(config_sync_t *config_sync, unsigned int subject)
 {
-	const text_version_t *held =
+	const text_version_t *version =
 		&find_document(config_sync, subject)->current;
 	message_t message = { .kind = MESSAGE_OFFER };
 	uint32_t start = (uint32_t)pimento_random_below(&config_sync->random,
@@ -276,9 +276,9 @@
 	uint32_t sent = 0;
 
 	message.u.offer.subject = (uint8_t)subject;
-	message.u.offer.revision = held->revision;
-	message.u.offer.digest = held->digest;
-	message.u.offer.size = (uint32_t)held->length;
+	message.u.offer.revision = version->revision;
+	message.u.offer.digest = version->digest;
+	message.u.offer.size = (uint32_t)version->length;
 	for (uint32_t i = 0; i < CONFIG_SYNC_PEERS_MAX && sent < OFFER_FANOUT;
 	     i++) {
 		pimento_id_t peer =
@@ -310,7 +310,7 @@
 		return revision <= doc->pending.revision ? PIMENTO_ESTALE
 							 : PIMENTO_EBUSY;
 	digest = XXH3_64bits(text, length);
-	if (rejected(doc, revision, digest))
+	if (is_rejected(doc, revision, digest))
 		return PIMENTO_ESTALE;
 	copy = malloc(length + 1);
 	if (!copy)
@@ -333,7 +333,7 @@
 	if (!doc || !from)
 		return;
 	record_peer(config_sync, from);
-	if (revision <= newest(doc) || find_rejection(doc, revision))
+	if (revision <= newest_revision(doc) || find_rejection(doc, revision))
 		return;
 	record_source(doc, from, revision);
 	if (!doc->fetch.revision)
@@ -348,7 +348,7 @@
 
 	if (!doc || !o->revision || o->size > CONFIG_SYNC_TEXT_MAX)
 		return PIMENTO_EINVAL;
-	if (rejected(doc, o->revision, o->digest))
+	if (is_rejected(doc, o->revision, o->digest))
 		return PIMENTO_OK;
 	config_sync_learn_revision(config_sync, now, from,
 				   (config_sync_subject_t)o->subject,
@@ -418,30 +418,30 @@
 
 /* Turns the bytes received into the text; false if they do not make it. */
 static bool fetch_assemble(const config_sync_document_t *doc,
-			   text_version_t *held)
+			   text_version_t *version)
 {
 	const fetch_t *f = &doc->fetch;
 	int error = PIMENTO_OK;
 
-	held->revision = f->revision;
-	held->digest = f->digest;
+	version->revision = f->revision;
+	version->digest = f->digest;
 	if (f->base) {
 		error = delta_apply(doc->current.text, doc->current.length,
 				    f->bytes, f->size, CONFIG_SYNC_TEXT_MAX,
-				    &held->text, &held->length);
+				    &version->text, &version->length);
 	} else {
-		held->length = f->size;
-		held->text = malloc((size_t)f->size + 1);
-		if (!held->text)
+		version->length = f->size;
+		version->text = malloc((size_t)f->size + 1);
+		if (!version->text)
 			return false;
-		memcpy(held->text, f->bytes, f->size);
-		held->text[f->size] = '\0';
+		memcpy(version->text, f->bytes, f->size);
+		version->text[f->size] = '\0';
 	}
 	if (error)
 		return false;
-	if (XXH3_64bits(held->text, held->length) == held->digest)
+	if (XXH3_64bits(version->text, version->length) == version->digest)
 		return true;
-	free(held->text);
+	free(version->text);
 	return false;
 }
 
@@ -449,15 +449,15 @@
 			   unsigned int subject)
 {
 	config_sync_document_t *doc = find_document(config_sync, subject);
-	text_version_t held = { 0 };
+	text_version_t version = { 0 };
 
 	if (doc->pending.revision) {
 		fetch_reset(&doc->fetch);
 		return;
 	}
-	if (fetch_assemble(doc, &held)) {
+	if (fetch_assemble(doc, &version)) {
 		fetch_reset(&doc->fetch);
-		doc->pending = held;
+		doc->pending = version;
 		return;
 	}
 	/* Pulled again only by the timeout: no loop at the network's speed. */
@@ -503,7 +503,7 @@
 	if (!f->revision || p->revision < f->revision ||
 	    p->revision <= doc->current.revision)
 		return PIMENTO_OK;
-	if (rejected(doc, p->revision, p->digest)) {
+	if (is_rejected(doc, p->revision, p->digest)) {
 		fetch_reset(f);
 		return PIMENTO_OK;
 	}
@@ -523,7 +523,7 @@
 	if (f->received == f->size)
 		fetch_complete(config_sync, now, p->subject);
 	else if (p->length)
-		pull(config_sync, now, p->subject);
+		send_pull(config_sync, now, p->subject);
 	return PIMENTO_OK;
 }
 
@@ -587,11 +587,12 @@
 		free(doc->delta);
 		doc->delta = NULL;
 		doc->delta_base = 0;
-		offer(config_sync, subject);
+		send_offers(config_sync, subject);
 	} else {
 		reject_pending(doc);
 	}
-	if (!doc->fetch.revision || doc->fetch.revision <= newest(doc)) {
+	if (!doc->fetch.revision ||
+	    doc->fetch.revision <= newest_revision(doc)) {
 		fetch_reset(&doc->fetch);
 		fetch_newest(config_sync, now, subject);
 	}
@@ -647,7 +648,7 @@
 		}
 		f->from = alternative_source(config_sync, doc, f->revision,
 					     f->from);
-		pull(config_sync, now, s);
+		send_pull(config_sync, now, s);
 	}
 }
 
--- a/src/member_table.c
+++ b/src/member_table.c
@@ -52,20 +52,20 @@
 	return NULL;
 }
 
-static int reserve(membership_t *m)
+static int grow_table(membership_t *m)
 {
 	uint32_t capacity = m->capacity ? m->capacity * 2 : 16;
-	member_t *hosts;
+	member_t *members;
 	pimento_id_t *order;
 
 	if (m->count < m->capacity)
 		return PIMENTO_OK;
 	if (m->count >= MEMBERSHIP_MEMBERS_MAX)
 		return PIMENTO_EFULL;
-	hosts = realloc(m->members, capacity * sizeof(*hosts));
-	if (!hosts)
+	members = realloc(m->members, capacity * sizeof(*members));
+	if (!members)
 		return PIMENTO_ENOMEM;
-	m->members = hosts;
+	m->members = members;
 	order = realloc(m->probe_order, capacity * sizeof(*order));
 	if (!order)
 		return PIMENTO_ENOMEM;
@@ -104,7 +104,7 @@
 int member_add(membership_t *m, pimento_id_t id, bool endpoint,
 	       member_t **added)
 {
-	int error = reserve(m);
+	int error = grow_table(m);
 	member_t *member;
 	uint32_t i;
 
@@ -167,13 +167,13 @@
 }
 
 void member_set_liveness(membership_t *m, pimento_usec_t now, member_t *member,
-			 member_liveness_t rank)
+			 member_liveness_t liveness)
 {
-	if (member->liveness == rank)
+	if (member->liveness == liveness)
 		return;
-	if (member->liveness == LIVENESS_DEAD || rank == LIVENESS_DEAD)
+	if (member->liveness == LIVENESS_DEAD || liveness == LIVENESS_DEAD)
 		m->owner_changes++;
-	member->liveness = (uint8_t)rank;
+	member->liveness = (uint8_t)liveness;
 	member->liveness_since = now;
 	member_queue_update(m, member);
 }
@@ -227,9 +227,9 @@
 		put_fact(p, member, HOST_LIVE);
 }
 
-/* Puts what is left to tell at least least and at most most times, in turn. */
+/* Puts what is left to tell at min_left min_left and at max_left max_left times, in turn. */
 static void put_updates(membership_t *m, message_probe_t *p, uint32_t room,
-			uint32_t least, uint32_t most)
+			uint32_t min_left, uint32_t max_left)
 {
 	uint32_t from = m->update_cursor;
 
@@ -237,7 +237,8 @@
 		uint32_t j = (from + i) % m->count;
 		member_t *member = &m->members[j];
 
-		if (member->sends_left < least || member->sends_left > most ||
+		if (member->sends_left < min_left ||
+		    member->sends_left > max_left ||
 		    member->last_message == m->message_number)
 			continue;
 		member_put_facts(p, member);
@@ -262,7 +263,7 @@
 }
 
 /*
- * The freshest news goes first: what was told least often, in turn among those
+ * The freshest news goes first: what was told min_left often, in turn among those
  * told equally often. When a data centre starts or is lost, word of it fills
  * every message for a minute or more; a death told in turn with the rest would
  * wait that long, and requests with the dead host.
@@ -282,9 +283,9 @@
 
 void member_put_anti_entropy(membership_t *m, message_probe_t *p)
 {
-	uint32_t told = 0;
+	uint32_t sent = 0;
 
-	for (uint32_t i = 0; i < m->count && told < ANTI_ENTROPY_FACTS; i++) {
+	for (uint32_t i = 0; i < m->count && sent < ANTI_ENTROPY_FACTS; i++) {
 		member_t *member;
 
 		if (m->anti_entropy_cursor >= m->count)
@@ -294,7 +295,7 @@
 		    (!member->version && !member_is_leaving(member)))
 			continue;
 		member_put_facts(p, member);
-		told++;
+		sent++;
 	}
 }
 
@@ -310,13 +311,14 @@
 static void merge_self_fact(membership_t *m, const message_fact_t *fact)
 {
 	member_t *self = member_self(m);
-	bool mine = fact->incarnation == self->incarnation;
+	bool own_incarnation = fact->incarnation == self->incarnation;
 
-	if (mine && fact->state == HOST_LEAVING)
+	if (own_incarnation && fact->state == HOST_LEAVING)
 		member_set_leaving(m, self);
 	if (fact->version < self->version)
 		return;
-	if (!mine || fact->state == HOST_SUSPECT || fact->state == HOST_DEAD)
+	if (!own_incarnation || fact->state == HOST_SUSPECT ||
+	    fact->state == HOST_DEAD)
 		raise_self_version(m, fact->version);
 }
 
--- a/src/member_table.h
+++ b/src/member_table.h
@@ -52,7 +52,7 @@
 void member_queue_update(membership_t *m,
 			 member_t *member); /* tell it afresh */
 void member_set_liveness(membership_t *m, pimento_usec_t now, member_t *member,
-			 member_liveness_t rank);
+			 member_liveness_t liveness);
 void member_set_leaving(membership_t *m, member_t *member);
 
 void member_merge_fact(membership_t *m, pimento_usec_t now,
--- a/src/membership.c
+++ b/src/membership.c
@@ -241,19 +241,19 @@
 			      const hostlist_t *list)
 {
 	int error = PIMENTO_OK;
-	bool *was;
+	bool *was_listed;
 
 	detect_pause(membership, now);
 	if (list->revision <= membership->published_revision)
 		return PIMENTO_ESTALE;
-	was = calloc(list->count + 1, sizeof(*was));
-	if (!was)
+	was_listed = calloc(list->count + 1, sizeof(*was_listed));
+	if (!was_listed)
 		return PIMENTO_ENOMEM;
 	for (uint32_t i = 0; i < list->count; i++) {
 		member_t *member =
 			find_or_add_listed(membership, &list->hosts[i], &error);
 
-		was[i] = member && member->listed;
+		was_listed[i] = member && member->listed;
 	}
 	for (uint32_t i = 0; i < membership->count; i++)
 		membership->members[i].listed = false;
@@ -262,9 +262,9 @@
 
 		if (member)
 			apply_listed_host(membership, member, &list->hosts[i],
-					  was[i]);
+					  was_listed[i]);
 	}
-	free(was);
+	free(was_listed);
 	if (!error)
 		membership->published_revision = list->revision;
 	drop_unlisted(membership);
@@ -293,15 +293,15 @@
 
 	for (uint32_t i = m->count; i-- > 0;) {
 		member_t *member = &m->members[i];
-		pimento_usec_t forget = member->is_endpoint
-						? DEAD_ENDPOINT_RETENTION
-						: DEAD_HOST_RETENTION;
+		pimento_usec_t retention = member->is_endpoint
+						   ? DEAD_ENDPOINT_RETENTION
+						   : DEAD_HOST_RETENTION;
 
 		if (member->liveness == LIVENESS_SUSPECT &&
 		    now - member->liveness_since >= limit)
 			member_set_liveness(m, now, member, LIVENESS_DEAD);
 		if (member->liveness == LIVENESS_DEAD && !member->listed &&
-		    now - member->liveness_since >= forget)
+		    now - member->liveness_since >= retention)
 			member_remove(m, i);
 	}
 }
@@ -518,12 +518,12 @@
 
 static void send_indirect_probes(membership_t *m)
 {
-	uint32_t asked = 0;
+	uint32_t sent = 0;
 
 	/* The target may have been forgotten since, and nobody be left. */
 	if (!m->probe_order_count)
 		return;
-	for (uint32_t i = 0; i < 4 * INDIRECT_PROBES && asked < INDIRECT_PROBES;
+	for (uint32_t i = 0; i < 4 * INDIRECT_PROBES && sent < INDIRECT_PROBES;
 	     i++) {
 		uint64_t n =
 			pimento_random_below(&m->random, m->probe_order_count);
@@ -534,7 +534,7 @@
 			continue;
 		send_probe_message(m, MESSAGE_PROBE, member->id,
 				   m->probe_target, m->probe_sequence);
-		asked++;
+		sent++;
 	}
 }
 
--- a/src/peers.c
+++ b/src/peers.c
@@ -1,5 +1,5 @@
 /*
- * Freshness travels with an echo. A note may have lain in the socket of a host
+ * Freshness travels with an echo. A message may have lain in the socket of a host
  * that was frozen; counted from its arrival, the age that it states would look
  * seconds younger than it is, and keys that were taken away would be honoured.
  * So a statement counts from the receiver's own stamp that it echoes: that
@@ -109,19 +109,19 @@
 	return membership_add_host(&peers->membership, now, address);
 }
 
-static void copy_loads(peer_t *peer, const gossip_message_t *note)
+static void copy_loads(peer_t *peer, const gossip_message_t *message)
 {
-	peer->load_count = note->load_count;
-	memcpy(peer->loads, note->loads, sizeof(peer->loads));
+	peer->load_count = message->load_count;
+	memcpy(peer->loads, message->loads, sizeof(peer->loads));
 	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++)
-		peer->revisions[kind] = note->replicas[kind].revision;
+		peer->revisions[kind] = message->replicas[kind].revision;
 }
 
-/* Takes what a note says of hosts, also if a later one came before it. */
-static int merge_membership(peers_t *peers, const gossip_message_t *note,
+/* Takes what a message says of hosts, also if a later one came before it. */
+static int merge_membership(peers_t *peers, const gossip_message_t *message,
 			    pimento_usec_t now)
 {
-	const message_probe_t *reported = &note->membership;
+	const message_probe_t *reported = &message->membership;
 	membership_t *membership = &peers->membership;
 	int error = 0;
 
@@ -133,12 +133,12 @@
 			error = peers_add(peers, (uint32_t)fact->subject, false,
 					  now);
 	}
-	if (note->probe_kind == GOSSIP_NO_PROBE)
-		membership_merge_facts(membership, now, note->address,
+	if (message->probe_kind == GOSSIP_NO_PROBE)
+		membership_merge_facts(membership, now, message->address,
 				       reported);
 	else
-		membership_receive_probe(membership, now, note->address,
-					 note->probe_kind == GOSSIP_ACK
+		membership_receive_probe(membership, now, message->address,
+					 message->probe_kind == GOSSIP_ACK
 						 ? MESSAGE_ACK
 						 : MESSAGE_PROBE,
 					 reported);
@@ -186,11 +186,11 @@
 				peers->pollers[--peers->poller_count];
 }
 
-static void merge_pollers(peers_t *peers, const gossip_message_t *note,
+static void merge_pollers(peers_t *peers, const gossip_message_t *message,
 			  pimento_usec_t now)
 {
-	for (uint32_t i = 0; i < note->poller_count; i++) {
-		const gossip_poller_t *reported = &note->pollers[i];
+	for (uint32_t i = 0; i < message->poller_count; i++) {
+		const gossip_poller_t *reported = &message->pollers[i];
 		const known_poller_t poller = { reported->address,
 						now - reported->age };
 
@@ -202,60 +202,60 @@
 }
 
 void peers_put_pollers(peers_t *peers, bool poller, pimento_usec_t now,
-		       gossip_message_t *note)
+		       gossip_message_t *message)
 {
 	expire_pollers(peers, now);
-	note->poller_count = 0;
+	message->poller_count = 0;
 	if (poller)
-		note->pollers[note->poller_count++] =
+		message->pollers[message->poller_count++] =
 			(gossip_poller_t){ peers->self, 0 };
-	for (uint32_t i = 0;
-	     i < peers->poller_count && note->poller_count < GOSSIP_POLLERS_MAX;
+	for (uint32_t i = 0; i < peers->poller_count &&
+			     message->poller_count < GOSSIP_POLLERS_MAX;
 	     i++)
-		note->pollers[note->poller_count++] = (gossip_poller_t){
+		message->pollers[message->poller_count++] = (gossip_poller_t){
 			peers->pollers[i].address,
 			now - peers->pollers[i].seen_at,
 		};
 }
 
-static pimento_usec_t replica_confirmed_at(const gossip_message_t *note,
+static pimento_usec_t replica_confirmed_at(const gossip_message_t *message,
 					   const gossip_replica_t *copy,
 					   pimento_usec_t now)
 {
-	if (!note->echo || note->echo > now || copy->age == PIMENTO_NEVER)
+	if (!message->echo || message->echo > now || copy->age == PIMENTO_NEVER)
 		return INT64_MIN;
-	return note->echo - copy->age;
+	return message->echo - copy->age;
 }
 
-peer_t *peers_receive(peers_t *peers, const gossip_message_t *note,
+peer_t *peers_receive(peers_t *peers, const gossip_message_t *message,
 		      pimento_usec_t now,
 		      pimento_usec_t confirmed_at[REPLICA_KIND_COUNT])
 {
-	peer_t *peer = find_peer(peers, note->address);
+	peer_t *peer = find_peer(peers, message->address);
 
 	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++)
 		confirmed_at[kind] = INT64_MIN;
-	if (note->address == peers->self || !note->address)
+	if (message->address == peers->self || !message->address)
 		return NULL;
-	if (merge_membership(peers, note, now))
+	if (merge_membership(peers, message, now))
 		return NULL;
-	merge_pollers(peers, note, now);
-	if (!peer && !peers_add(peers, note->address, false, now))
-		peer = find_peer(peers, note->address);
+	merge_pollers(peers, message, now);
+	if (!peer && !peers_add(peers, message->address, false, now))
+		peer = find_peer(peers, message->address);
 	if (!peer)
 		return NULL;
-	if (peer->seen && peer->incarnation == note->incarnation &&
-	    note->stamp <= peer->last_stamp)
+	if (peer->seen && peer->incarnation == message->incarnation &&
+	    message->stamp <= peer->last_stamp)
 		return NULL;
 	peers->any_peer_seen = true;
 	peer->seen = true;
-	peer->incarnation = note->incarnation;
-	peer->last_stamp = note->stamp;
+	peer->incarnation = message->incarnation;
+	peer->last_stamp = message->stamp;
 	peer->last_seen = now;
-	copy_loads(peer, note);
+	copy_loads(peer, message);
 	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++)
-		confirmed_at[kind] =
-			replica_confirmed_at(note, &note->replicas[kind], now);
+		confirmed_at[kind] = replica_confirmed_at(
+			message, &message->replicas[kind], now);
 	return peer;
 }
 
@@ -307,17 +307,18 @@
 	membership_tick(&peers->membership, now);
 }
 
-bool peers_next_probe(peers_t *peers, uint32_t *address, gossip_message_t *note)
+bool peers_next_probe(peers_t *peers, uint32_t *address,
+		      gossip_message_t *message)
 {
 	pimento_id_t to;
 
 	if (!outbox_take(&peers->out, &to, &peers->probe_message))
 		return false;
 	*address = (uint32_t)to;
-	note->probe_kind = peers->probe_message.kind == MESSAGE_ACK
-				   ? GOSSIP_ACK
-				   : GOSSIP_PROBE;
-	note->membership = peers->probe_message.u.probe;
+	message->probe_kind = peers->probe_message.kind == MESSAGE_ACK
+				      ? GOSSIP_ACK
+				      : GOSSIP_PROBE;
+	message->membership = peers->probe_message.u.probe;
 	return true;
 }
 
@@ -333,11 +334,11 @@
 	return peers->membership.options.incarnation;
 }
 
-void peers_put_membership(peers_t *peers, gossip_message_t *note)
+void peers_put_membership(peers_t *peers, gossip_message_t *message)
 {
-	note->probe_kind = GOSSIP_NO_PROBE;
-	note->membership.count = 0;
-	membership_put_facts(&peers->membership, &note->membership);
+	message->probe_kind = GOSSIP_NO_PROBE;
+	message->membership.count = 0;
+	membership_put_facts(&peers->membership, &message->membership);
 }
 
 static bool is_live(const peers_t *peers, uint32_t address)
@@ -366,10 +367,10 @@
 
 bool peers_is_discovering(const peers_t *peers, pimento_usec_t now)
 {
-	pimento_usec_t up = now - peers->first_added_at;
+	pimento_usec_t elapsed = now - peers->first_added_at;
 
-	return (!peers->any_peer_seen && up < DISCOVERY_FIRST_PEER) ||
-	       (up < DISCOVERY_MAX &&
+	return (!peers->any_peer_seen && elapsed < DISCOVERY_FIRST_PEER) ||
+	       (elapsed < DISCOVERY_MAX &&
 		now - peers->last_added_at < DISCOVERY_IDLE);
 }
 
@@ -389,11 +390,11 @@
 	return before < PEERS_POLLERS;
 }
 
-/* Known readers; first counts those that would stay before us. */
+/* Known pollers; first counts those that would stay before us. */
 static uint32_t count_pollers(const peers_t *peers, pimento_usec_t now,
 			      uint32_t *first)
 {
-	uint32_t readers = 0;
+	uint32_t pollers = 0;
 
 	*first = 0;
 	for (uint32_t i = 0; i < peers->poller_count; i++) {
@@ -401,25 +402,25 @@
 
 		if (now - poller->seen_at >= REPORT_MAX_AGE)
 			continue;
-		readers++;
+		pollers++;
 		if (address_hash(poller->address) < address_hash(peers->self))
 			(*first)++;
 	}
-	return readers;
+	return pollers;
 }
 
 bool peers_should_poll(const peers_t *peers, bool poller, uint64_t draw,
 		       pimento_usec_t now)
 {
 	uint32_t first;
-	uint32_t readers = count_pollers(peers, now, &first);
+	uint32_t pollers = count_pollers(peers, now, &first);
 
 	if (poller)
 		return first < PEERS_POLLERS;
 	/* Each that is missing is made up for by about one of the others. */
-	if (readers >= PEERS_POLLERS)
+	if (pollers >= PEERS_POLLERS)
 		return false;
-	return draw % peers_host_count(peers, now) < PEERS_POLLERS - readers;
+	return draw % peers_host_count(peers, now) < PEERS_POLLERS - pollers;
 }
 
 uint32_t peers_owner(const peers_t *peers, pimento_id_t endpoint)
--- a/src/peers.h
+++ b/src/peers.h
@@ -15,11 +15,11 @@
 #include "membership.h"
 #include "replica.h"
 
-/* A note has room for this many; more would not fit one datagram. */
+/* A message has room for this many; more would not fit one datagram. */
 #define GOSSIP_LOADS_MAX 64
 #define GOSSIP_QUOTAS_MAX 8
 #define GOSSIP_OWNER_REPORTS_MAX 24
-/* With more facts on hosts than this a note has room for little else. */
+/* With more facts on hosts than this a message has room for little else. */
 #define GOSSIP_FACTS_NORMAL 16
 #define GOSSIP_POLLERS_MAX 10
 /*
@@ -48,7 +48,7 @@
 	pimento_usec_t age; /* since it said so */
 } gossip_poller_t;
 
-/* What a note is in the membership protocol. */
+/* What a message is in the membership protocol. */
 typedef enum gossip_probe_kind {
 	GOSSIP_NO_PROBE,
 	GOSSIP_PROBE,
@@ -69,7 +69,7 @@
 	gossip_replica_t
 		replicas[REPLICA_KIND_COUNT]; /* of the sender, by collection */
 	gossip_probe_kind_t probe_kind;
-	bool reply_wanted; /* the receiver is to answer with a note of its own */
+	bool reply_wanted; /* the receiver is to answer with a message of its own */
 	message_probe_t membership;
 	uint32_t load_count;
 	uint32_t quota_count;
@@ -128,12 +128,12 @@
 int peers_add(peers_t *peers, uint32_t address, bool seed, pimento_usec_t now);
 
 /*
- * Takes a note. For each collection, sets its element of confirmed_at to the time, on
+ * Takes a message. For each collection, sets its element of confirmed_at to the time, on
  * this host's clock, since which the sender's copy was surely confirmed, or to
- * INT64_MIN. Returns the peer; NULL for a note that is old, from this host
+ * INT64_MIN. Returns the peer; NULL for a message that is old, from this host
  * itself, or without memory.
  */
-peer_t *peers_receive(peers_t *peers, const gossip_message_t *note,
+peer_t *peers_receive(peers_t *peers, const gossip_message_t *message,
 		      pimento_usec_t now,
 		      pimento_usec_t confirmed_at[REPLICA_KIND_COUNT]);
 
@@ -145,26 +145,26 @@
 void peers_tick(peers_t *peers, pimento_usec_t now);
 
 /*
- * The next probe or ack to be sent, as the membership part of a note; call
- * until it returns false, after each tick and each note that was received.
+ * The next probe or ack to be sent, as the membership part of a message; call
+ * until it returns false, after each tick and each message that was received.
  */
 bool peers_next_probe(peers_t *peers, uint32_t *address,
-		      gossip_message_t *note);
+		      gossip_message_t *message);
 
-/* The stamp of a peer's last note, to be echoed; 0 for one not heard. */
+/* The stamp of a peer's last message, to be echoed; 0 for one not heard. */
 pimento_usec_t peers_last_stamp(const peers_t *peers, uint32_t address);
 
 uint64_t peers_incarnation(const peers_t *peers);
 
-/* Fills a note that is no probe with what is known of hosts. */
-void peers_put_membership(peers_t *peers, gossip_message_t *note);
+/* Fills a message that is no probe with what is known of hosts. */
+void peers_put_membership(peers_t *peers, gossip_message_t *message);
 
 /* True if there is more to tell of hosts than a few notes hold. */
 bool peers_has_update_backlog(const peers_t *peers);
 
-/* Fills the readers of a note; poller: this host is one. */
+/* Fills the readers of a message; poller: this host is one. */
 void peers_put_pollers(peers_t *peers, bool poller, pimento_usec_t now,
-		       gossip_message_t *note);
+		       gossip_message_t *message);
 
 /* Hosts that share limits, this one included: heard of within a minute. */
 uint32_t peers_host_count(const peers_t *peers, pimento_usec_t now);
--- a/test/peers_sim.c
+++ b/test/peers_sim.c
@@ -68,68 +68,71 @@
 
 static void send_probes(peers_sim_t *sim, uint32_t host);
 
-static void measure(peers_sim_host_t *from, const gossip_message_t *note)
+static void count_encoded_bytes(peers_sim_host_t *from,
+				const gossip_message_t *message)
 {
 	uint8_t bytes[PACKET_BYTES_MAX];
 	packet_t packet = { .kind = PACKET_GOSSIP };
 	int length;
 
-	packet.as.gossip = *note;
+	packet.as.gossip = *message;
 	length = packet_pack(&packet, bytes, sizeof(bytes));
 	from->bytes_sent += length > 0 ? (uint64_t)length : 0;
 }
 
 /* What a frozen host would read after it wakes is lost instead. */
-static void deliver(peers_sim_t *sim, uint32_t from, gossip_message_t *note,
+static void deliver(peers_sim_t *sim, uint32_t from, gossip_message_t *message,
 		    uint32_t address)
 {
 	pimento_usec_t confirmed_at[REPLICA_KIND_COUNT];
 	quota_t *quota = sim->hosts[from].quota;
 	uint32_t to = peers_sim_host_index(address);
 
-	note->address = peers_sim_address(from);
-	note->incarnation = sim->hosts[from].incarnation;
-	note->stamp = ++sim->now; /* no two notes at the same moment */
-	note->quota_count =
-		quota ? quota_collect_reports(quota, note->quotas,
+	message->address = peers_sim_address(from);
+	message->incarnation = sim->hosts[from].incarnation;
+	message->stamp = ++sim->now; /* no two notes at the same moment */
+	message->quota_count =
+		quota ? quota_collect_reports(quota, message->quotas,
 					      GOSSIP_QUOTAS_MAX, sim->now)
 		      : 0;
 	sim->hosts[from].messages_sent++;
 	if (sim->measure_bytes)
-		measure(&sim->hosts[from], note);
+		count_encoded_bytes(&sim->hosts[from], message);
 	if (to >= sim->count || !is_running(sim, &sim->hosts[to]) ||
 	    sim->hosts[to].drops_input ||
 	    sim->hosts[to].partition != sim->hosts[from].partition ||
 	    pimento_random_unit(&sim->random) < sim->loss)
 		return;
-	peers_receive(&sim->hosts[to].roster, note, sim->now, confirmed_at);
-	for (uint32_t i = 0; sim->hosts[to].quota && i < note->quota_count; i++)
-		quota_apply_report(
-			sim->hosts[to].quota, note->quotas[i].account,
-			note->quotas[i].level, sim->now - note->quotas[i].age);
+	peers_receive(&sim->hosts[to].roster, message, sim->now, confirmed_at);
+	for (uint32_t i = 0; sim->hosts[to].quota && i < message->quota_count;
+	     i++)
+		quota_apply_report(sim->hosts[to].quota,
+				   message->quotas[i].account,
+				   message->quotas[i].level,
+				   sim->now - message->quotas[i].age);
 	send_probes(sim, to);
 }
 
 static void send_probes(peers_sim_t *sim, uint32_t host)
 {
-	gossip_message_t note = { 0 };
+	gossip_message_t message = { 0 };
 	uint32_t address;
 
-	while (peers_next_probe(&sim->hosts[host].roster, &address, &note))
-		deliver(sim, host, &note, address);
+	while (peers_next_probe(&sim->hosts[host].roster, &address, &message))
+		deliver(sim, host, &message, address);
 }
 
 static void send_gossip(peers_sim_t *sim, uint32_t host)
 {
 	peers_sim_host_t *h = &sim->hosts[host];
 	peer_t *targets[TARGETS];
-	gossip_message_t note = { 0 };
+	gossip_message_t message = { 0 };
 	uint32_t count;
 
-	peers_put_membership(&h->roster, &note);
+	peers_put_membership(&h->roster, &message);
 	count = peers_next_targets(&h->roster, sim->now, sim->targets, targets);
 	for (uint32_t i = 0; i < count; i++)
-		deliver(sim, host, &note, targets[i]->address);
+		deliver(sim, host, &message, targets[i]->address);
 }
 
 void peers_sim_run(peers_sim_t *sim, pimento_usec_t span)
@@ -185,7 +188,7 @@
 
 	/* one that errs is enough to know that they do not agree yet */
 	for (uint32_t i = 0; i < sim->count && !wrong; i++) {
-		const peers_t *roster = &sim->hosts[i].roster;
+		const peers_t *peers = &sim->hosts[i].roster;
 
 		for (uint32_t j = 0; j < sim->count; j++) {
 			const peers_sim_host_t *other = &sim->hosts[j];
@@ -194,7 +197,7 @@
 
 			if (!is_running(sim, &sim->hosts[i]) || i == j)
 				continue;
-			state = membership_state(&roster->membership,
+			state = membership_state(&peers->membership,
 						 peers_sim_address(j));
 			live = state == HOST_LIVE || state == HOST_SUSPECT;
 			wrong += live != (other->up && !other->leaving);
--- a/test/test_config_sync.c
+++ b/test/test_config_sync.c
@@ -277,7 +277,7 @@
 	static const uint32_t sizes[] = { 1, 8, 50, 400 };
 	uint32_t n = sizes[_i];
 	pimento_id_t live[400];
-	uint32_t readers = 0;
+	uint32_t pollers = 0;
 	double reads = 0;
 
 	for (uint32_t i = 0; i < n; i++)
@@ -289,11 +289,11 @@
 		pimento_usec_t interval;
 
 		if (config_sync_is_poller(&s, live, n, &interval))
-			readers++;
+			pollers++;
 		else
 			reads += (double)PIMENTO_SEC / (double)interval;
 	}
-	ck_assert_uint_eq(readers,
+	ck_assert_uint_eq(pollers,
 			  n < CONFIG_SYNC_POLLERS ? n : CONFIG_SYNC_POLLERS);
 	ck_assert_double_le(reads, 2.5);
 }
--- a/test/test_membership.c
+++ b/test/test_membership.c
@@ -67,7 +67,7 @@
 
 /* What is held after facts that arrive in every order, each also twice. */
 static const struct {
-	const char *what;
+	const char *name;
 	uint32_t count;
 	struct {
 		uint64_t incarnation;
@@ -148,7 +148,7 @@
 				      merge_cases[i].state &&
 			      membership_incarnation(&membership, PEER) ==
 				      merge_cases[i].incarnation,
-		      "%s: state %d, order %u %u %u %u", merge_cases[i].what,
+		      "%s: state %d, order %u %u %u %u", merge_cases[i].name,
 		      membership_state(&membership, PEER), order[0], order[1],
 		      order[2], order[3]);
 }
--- a/test/test_peers.c
+++ b/test/test_peers.c
@@ -38,31 +38,32 @@
 	};
 }
 
-static void add_fact(gossip_message_t *note, uint32_t address)
+static void add_fact(gossip_message_t *message, uint32_t address)
 {
-	note->membership.facts[note->membership.count++] = (message_fact_t){
-		.subject = address,
-		.incarnation = 1,
-		.version = 1,
-		.state = HOST_LIVE,
-	};
+	message->membership.facts[message->membership.count++] =
+		(message_fact_t){
+			.subject = address,
+			.incarnation = 1,
+			.version = 1,
+			.state = HOST_LIVE,
+		};
 }
 
 /*
- * This host is frozen for four seconds while a peer's note lies in its socket.
- * The note says "my copy is 200 ms old", which was true when it was written.
+ * This host is frozen for four seconds while a peer's message lies in its socket.
+ * The message says "my copy is 200 ms old", which was true when it was written.
  * Counted from the moment of reading, keys that were taken away during the
  * freeze would be honoured.
  */
 START_TEST(delayed_message_does_not_refresh_replica)
 {
-	gossip_message_t note = message_from(PEER, 50);
+	gossip_message_t message = message_from(PEER, 50);
 	pimento_usec_t confirmed_at[REPLICA_KIND_COUNT];
 
-	note.echo = 10 * PIMENTO_SEC; /* our stamp before the freeze */
-	note.replicas[_i].age = 200 * PIMENTO_MSEC;
-	ck_assert_ptr_nonnull(
-		peers_receive(&peers, &note, 14 * PIMENTO_SEC, confirmed_at));
+	message.echo = 10 * PIMENTO_SEC; /* our stamp before the freeze */
+	message.replicas[_i].age = 200 * PIMENTO_MSEC;
+	ck_assert_ptr_nonnull(peers_receive(&peers, &message, 14 * PIMENTO_SEC,
+					    confirmed_at));
 	ck_assert_int_eq(confirmed_at[_i],
 			 10 * PIMENTO_SEC - 200 * PIMENTO_MSEC);
 	ck_assert_int_eq(confirmed_at[!_i], INT64_MIN);
@@ -71,30 +72,31 @@
 
 START_TEST(message_without_valid_echo_gives_no_age)
 {
-	gossip_message_t note = message_from(PEER, 50);
+	gossip_message_t message = message_from(PEER, 50);
 	pimento_usec_t confirmed_at[REPLICA_KIND_COUNT];
 
-	note.replicas[_i].age = 0;
+	message.replicas[_i].age = 0;
 	ck_assert_ptr_nonnull(
-		peers_receive(&peers, &note, PIMENTO_SEC, confirmed_at));
+		peers_receive(&peers, &message, PIMENTO_SEC, confirmed_at));
 	ck_assert_int_eq(confirmed_at[_i], INT64_MIN);
-	note.stamp++;
-	note.echo = 2 * PIMENTO_SEC; /* of the future: not ours */
+	message.stamp++;
+	message.echo = 2 * PIMENTO_SEC; /* of the future: not ours */
 	ck_assert_ptr_nonnull(
-		peers_receive(&peers, &note, PIMENTO_SEC, confirmed_at));
+		peers_receive(&peers, &message, PIMENTO_SEC, confirmed_at));
 	ck_assert_int_eq(confirmed_at[_i], INT64_MIN);
 }
 END_TEST
 
 START_TEST(reordered_messages_are_ignored)
 {
-	gossip_message_t note = message_from(PEER, 100);
+	gossip_message_t message = message_from(PEER, 100);
 	gossip_message_t earlier = message_from(PEER, 90);
 	pimento_usec_t confirmed_at[REPLICA_KIND_COUNT];
 
-	ck_assert_ptr_nonnull(peers_receive(&peers, &note, 200, confirmed_at));
+	ck_assert_ptr_nonnull(
+		peers_receive(&peers, &message, 200, confirmed_at));
 	ck_assert_ptr_null(peers_receive(&peers, &earlier, 201, confirmed_at));
-	ck_assert_ptr_null(peers_receive(&peers, &note, 202, confirmed_at));
+	ck_assert_ptr_null(peers_receive(&peers, &message, 202, confirmed_at));
 	earlier.incarnation = 2; /* it has restarted: its clock is another */
 	ck_assert_ptr_nonnull(
 		peers_receive(&peers, &earlier, 203, confirmed_at));
@@ -103,13 +105,13 @@
 
 START_TEST(loads_of_unresponsive_peers_are_ignored)
 {
-	gossip_message_t note = message_from(PEER, 100);
+	gossip_message_t message = message_from(PEER, 100);
 	peers_endpoint_load_t load;
 	pimento_usec_t confirmed_at[REPLICA_KIND_COUNT];
 
-	note.loads[0] = (peers_endpoint_load_t){ 9, 4, 700 };
-	note.load_count = 1;
-	peers_receive(&peers, &note, PIMENTO_SEC, confirmed_at);
+	message.loads[0] = (peers_endpoint_load_t){ 9, 4, 700 };
+	message.load_count = 1;
+	peers_receive(&peers, &message, PIMENTO_SEC, confirmed_at);
 	load = peers_endpoint_load(&peers, 9, 2 * PIMENTO_SEC);
 	ck_assert_uint_eq(load.running, 4);
 	ck_assert_uint_eq(load.prefill_tokens, 700);
@@ -125,7 +127,7 @@
 START_TEST(peers_are_discovered_through_seeds)
 {
 	peer_t *targets[8];
-	gossip_message_t note = message_from(PEER, 100);
+	gossip_message_t message = message_from(PEER, 100);
 	pimento_usec_t confirmed_at[REPLICA_KIND_COUNT];
 
 	for (uint32_t seed = 10; seed < 13; seed++)
@@ -133,8 +135,8 @@
 	ck_assert_int_eq(peers_add(&peers, SELF, true, 0), 0);
 	ck_assert_uint_eq(peers_next_targets(&peers, PIMENTO_SEC, 8, targets),
 			  3);
-	add_fact(&note, 20);
-	peers_receive(&peers, &note, PIMENTO_SEC, confirmed_at);
+	add_fact(&message, 20);
+	peers_receive(&peers, &message, PIMENTO_SEC, confirmed_at);
 	ck_assert_uint_eq(peers_next_targets(&peers, PIMENTO_SEC, 8, targets),
 			  5);
 }
@@ -144,9 +146,9 @@
 {
 	peer_t *targets[8];
 	pimento_usec_t confirmed_at[REPLICA_KIND_COUNT];
-	gossip_message_t note = message_from(PEER, 100);
+	gossip_message_t message = message_from(PEER, 100);
 
-	peers_receive(&peers, &note, PIMENTO_SEC, confirmed_at);
+	peers_receive(&peers, &message, PIMENTO_SEC, confirmed_at);
 	ck_assert_int_eq(peers_add(&peers, 10, true, 0), 0);
 	ck_assert_uint_eq(peers_host_count(&peers, 2 * PIMENTO_SEC), 3);
 	peers_next_targets(&peers, 90 * PIMENTO_SEC, 8, targets);
@@ -165,12 +167,12 @@
 	pimento_usec_t confirmed_at[REPLICA_KIND_COUNT];
 
 	for (uint32_t i = 2; i < HOSTS; i++) {
-		gossip_message_t note = message_from(i, 100);
+		gossip_message_t message = message_from(i, 100);
 
 		if (i < 2 + PEERS_POLLERS)
-			note.pollers[note.poller_count++] =
+			message.pollers[message.poller_count++] =
 				(gossip_poller_t){ i, 0 };
-		peers_receive(&peers, &note, now, confirmed_at);
+		peers_receive(&peers, &message, now, confirmed_at);
 	}
 	for (uint64_t draw = 0; draw < ROUNDS; draw++)
 		joined += peers_should_poll(&peers, false, draw, now);
@@ -192,7 +194,7 @@
 START_TEST(default_pollers_poll_during_discovery)
 {
 	enum { HOSTS = 60 };
-	uint32_t first = 0;
+	uint32_t default_pollers = 0;
 
 	for (uint32_t self = 1; self <= HOSTS; self++) {
 		peers_t other;
@@ -200,10 +202,10 @@
 		ck_assert_int_eq(peers_init(&other, self, 7), 0);
 		for (uint32_t i = 1; i <= HOSTS; i++)
 			peers_add(&other, i, false, PIMENTO_SEC);
-		first += peers_is_default_poller(&other);
+		default_pollers += peers_is_default_poller(&other);
 		peers_finish(&other);
 	}
-	ck_assert_uint_eq(first, PEERS_POLLERS);
+	ck_assert_uint_eq(default_pollers, PEERS_POLLERS);
 	ck_assert(peers_is_default_poller(&peers));
 }
 END_TEST
@@ -216,46 +218,47 @@
 END_TEST
 
 /*
- * A host has to do with as many endpoints, accounts and engines as a note can
- * name. Too big for a datagram, the note would not be sent at all; peers would
+ * A host has to do with as many endpoints, accounts and engines as a message can
+ * name. Too big for a datagram, the message would not be sent at all; peers would
  * take the host for gone, and its engines would change hands.
  */
 START_TEST(full_message_round_trips)
 {
 	uint8_t bytes[PACKET_BYTES_MAX];
-	gossip_message_t note = message_from(PEER, 123456);
+	gossip_message_t message = message_from(PEER, 123456);
 	packet_t packet = { .kind = PACKET_GOSSIP };
 	gossip_message_t read;
 	int length;
 
-	note.echo = 99;
+	message.echo = 99;
 	for (uint32_t kind = 0; kind < REPLICA_KIND_COUNT; kind++)
-		note.replicas[kind] = (gossip_replica_t){
+		message.replicas[kind] = (gossip_replica_t){
 			(1u << 20) + kind,
 			(1500 + kind) * PIMENTO_MSEC,
 		};
-	note.load_count = GOSSIP_LOADS_MAX;
-	note.quota_count = GOSSIP_QUOTAS_MAX;
-	note.reply_wanted = true;
-	note.probe_kind = GOSSIP_ACK;
-	note.membership.sequence = 1ull << 40;
-	note.membership.target = PEER;
-	note.membership.revision = 1;
-	while (note.membership.count < GOSSIP_FACTS_NORMAL)
-		add_fact(&note, 100 + note.membership.count);
-	note.poller_count = GOSSIP_POLLERS_MAX;
+	message.load_count = GOSSIP_LOADS_MAX;
+	message.quota_count = GOSSIP_QUOTAS_MAX;
+	message.reply_wanted = true;
+	message.probe_kind = GOSSIP_ACK;
+	message.membership.sequence = 1ull << 40;
+	message.membership.target = PEER;
+	message.membership.revision = 1;
+	while (message.membership.count < GOSSIP_FACTS_NORMAL)
+		add_fact(&message, 100 + message.membership.count);
+	message.poller_count = GOSSIP_POLLERS_MAX;
 	for (uint32_t i = 0; i < GOSSIP_POLLERS_MAX; i++)
-		note.pollers[i] = (gossip_poller_t){ i, i * PIMENTO_SEC };
+		message.pollers[i] = (gossip_poller_t){ i, i * PIMENTO_SEC };
 	for (uint32_t i = 0; i < GOSSIP_LOADS_MAX; i++)
-		note.loads[i] = (peers_endpoint_load_t){ i, i + 1, i * 1000 };
+		message.loads[i] =
+			(peers_endpoint_load_t){ i, i + 1, i * 1000 };
 	for (uint32_t i = 0; i < GOSSIP_QUOTAS_MAX; i++)
-		note.quotas[i] = (quota_report_t){ i, 1e7 + i, PIMENTO_SEC };
-	note.owner_report_count = GOSSIP_OWNER_REPORTS_MAX;
+		message.quotas[i] = (quota_report_t){ i, 1e7 + i, PIMENTO_SEC };
+	message.owner_report_count = GOSSIP_OWNER_REPORTS_MAX;
 	for (uint32_t i = 0; i < GOSSIP_OWNER_REPORTS_MAX; i++)
-		note.owner_reports[i] = (gossip_owner_report_t){
+		message.owner_reports[i] = (gossip_owner_report_t){
 			i, i * PIMENTO_MSEC, { 12, 60, 150000, 2000, true }
 		};
-	packet.as.gossip = note;
+	packet.as.gossip = message;
 	length = packet_pack(&packet, bytes, sizeof(bytes));
 	ck_assert_int_gt(length, 0);
 	ck_assert_int_eq(packet_unpack(&packet, bytes, (size_t)length), 0);
@@ -281,10 +284,11 @@
 	ck_assert_uint_eq(read.owner_reports[15].report.event_gap_us, 150000);
 	ck_assert_int_eq(read.owner_reports[15].age, 15 * PIMENTO_MSEC);
 	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++) {
-		ck_assert_int_ge(read.replicas[kind].age,
-				 note.replicas[kind].age); /* never younger */
+		ck_assert_int_ge(
+			read.replicas[kind].age,
+			message.replicas[kind].age); /* never younger */
 		ck_assert_uint_eq(read.replicas[kind].revision,
-				  note.replicas[kind].revision);
+				  message.replicas[kind].revision);
 	}
 	ck_assert_int_eq(packet_unpack(&packet, bytes, (size_t)length - 1),
 			 PIMENTO_EPARSE);
@@ -295,18 +299,19 @@
 START_TEST(message_full_of_facts_round_trips)
 {
 	uint8_t bytes[PACKET_BYTES_MAX];
-	gossip_message_t note = message_from(PEER, 123456);
+	gossip_message_t message = message_from(PEER, 123456);
 	packet_t packet = { .kind = PACKET_GOSSIP };
 	int length;
 
-	while (note.membership.count < MESSAGE_FACTS_MAX)
-		add_fact(&note, 0x0a000000 + note.membership.count);
+	while (message.membership.count < MESSAGE_FACTS_MAX)
+		add_fact(&message, 0x0a000000 + message.membership.count);
 	for (uint32_t i = 0; i < MESSAGE_FACTS_MAX; i++)
-		note.membership.facts[i].incarnation = UINT64_MAX;
-	note.poller_count = GOSSIP_POLLERS_MAX;
+		message.membership.facts[i].incarnation = UINT64_MAX;
+	message.poller_count = GOSSIP_POLLERS_MAX;
 	for (uint32_t i = 0; i < GOSSIP_POLLERS_MAX; i++)
-		note.pollers[i] = (gossip_poller_t){ UINT32_MAX, PIMENTO_SEC };
-	packet.as.gossip = note;
+		message.pollers[i] =
+			(gossip_poller_t){ UINT32_MAX, PIMENTO_SEC };
+	packet.as.gossip = message;
 	length = packet_pack(&packet, bytes, sizeof(bytes));
 	ck_assert_int_gt(length, 0);
 	ck_assert_int_eq(packet_unpack(&packet, bytes, (size_t)length), 0);
@@ -347,12 +352,12 @@
 {
 	const pimento_usec_t at = 1000 * PIMENTO_MSEC;
 	pimento_usec_t confirmed_at[REPLICA_KIND_COUNT];
-	gossip_message_t note = message_from(PEER, 100);
+	gossip_message_t message = message_from(PEER, 100);
 
 	peers_add(&peers, PEER, true, at);
 	ck_assert(peers_is_discovering(&peers, at + 400 * PIMENTO_MSEC));
 	ck_assert(!peers_is_discovering(&peers, at + 600 * PIMENTO_MSEC));
-	peers_receive(&peers, &note, at + 300 * PIMENTO_MSEC, confirmed_at);
+	peers_receive(&peers, &message, at + 300 * PIMENTO_MSEC, confirmed_at);
 	ck_assert(!peers_is_discovering(&peers, at + 400 * PIMENTO_MSEC));
 }
 END_TEST
