--- a/src/config_sync.c
+++ b/src/config_sync.c
@@ -1,12 +1,14 @@
 /*
- * Spreading the published texts. New revisions travel in two ways at once: who
- * accepts one offers it to a few peers right away, which reaches the fleet in
- * a handful of steps, and every probe tells the revision in force, which
- * reaches whoever the offers missed. Both only say "I hold this"; the text is
- * pulled by who needs it, as a difference where the sender knows the base.
+ * Distribution of the published documents. New revisions travel in two ways at
+ * once: a host that accepts one offers it to a few peers right away, which
+ * reaches the fleet in a few hops, and every probe carries the revision in
+ * force, which reaches the hosts that the offers missed. Both only announce a
+ * revision; a host that lacks it pulls the text, as a difference if the sender
+ * knows the base.
  *
- * A text becomes part of what is offered on only after it was judged, so a
- * configuration that fails its checks stops at the hosts that read it.
+ * A text is offered to other hosts only after it was validated, so a
+ * configuration that fails its checks stops at the hosts that read it from the
+ * platform.
  */
 
 #include "config_sync.h"
@@ -18,19 +20,20 @@
 #include <xxhash.h>
 
 #define DOCUMENTS 2
-#define HISTORY_MAX 8 /* former texts kept as bases of differences */
-#define HISTORY_BYTES_MAX \
-	((size_t)2 * 1024 * 1024) /* of them, for one subject */
-#define REJECTED_MAX 4 /* rejected texts remembered */
-#define OFFER_FANOUT 4 /* peers offered a newly accepted text */
+#define HISTORY_MAX 8 /* former texts kept as bases for differences */
+/* total length of the former texts of one document */
+#define HISTORY_BYTES_MAX ((size_t)2 * 1024 * 1024)
+#define REJECTED_MAX 4 /* rejected revisions remembered per document */
+#define OFFER_FANOUT 4 /* peers to which a newly accepted text is offered */
 #define SOURCES_MAX 8 /* peers known to hold a newer text */
 #define PULL_TIMEOUT (200 * PIMENTO_MSEC)
-#define PULL_TRIES_MAX 10 /* then wait until a peer tells of it again */
+/* timed-out pulls; then wait until a peer announces the revision again */
+#define PULL_TRIES_MAX 10
 #define READ_INTERVAL_MIN (30 * PIMENTO_SEC)
 #define READ_INTERVAL_PER_HOST (500 * PIMENTO_MSEC)
 
 typedef struct text_version {
-	uint64_t revision; /* 0 none */
+	uint64_t revision; /* 0: no text */
 	uint64_t digest;
 	char *text; /* NUL-terminated */
 	size_t length;
@@ -46,27 +49,28 @@
 	uint64_t revision;
 } source_t;
 
-/* A transfer in progress. */
+/* Transfer of one text from another host. */
 typedef struct fetch {
-	uint64_t revision; /* 0: none */
+	uint64_t revision; /* 0: no transfer in progress */
 	uint64_t base;
 	uint64_t digest;
 	pimento_id_t from;
-	char *bytes; /* NULL until the first part came in */
+	char *bytes; /* NULL until the first part arrives */
 	uint32_t size;
 	uint32_t received;
-	uint32_t tries; /* since the last part */
-	bool full; /* a difference did not fit; ask for all of it */
+	uint32_t tries; /* pulls that timed out since the last part arrived */
+	bool full; /* the difference did not apply; pull the complete text */
 	pimento_usec_t deadline;
 } fetch_t;
 
 struct config_sync_document {
-	text_version_t current; /* in force, offered on */
-	text_version_t pending; /* awaits judgement */
-	text_version_t history[HISTORY_MAX]; /* newest first */
+	text_version_t current; /* in force, offered to peers */
+	text_version_t pending; /* awaits validation */
+	text_version_t history[HISTORY_MAX]; /* former texts, newest first */
 	rejection_t rejected[REJECTED_MAX];
 	uint32_t rejected_next;
-	char *delta; /* from delta_base to current, made when first pulled */
+	/* difference from delta_base to current, created when first pulled */
+	char *delta;
 	size_t delta_length;
 	uint64_t delta_base;
 	source_t sources[SOURCES_MAX];
@@ -129,7 +133,7 @@
 	memset(config_sync, 0, sizeof(*config_sync));
 }
 
-/* Newest revision that is here already. */
+/* Newest revision held by this host, in force or awaiting validation. */
 static uint64_t newest_revision(const config_sync_document_t *doc)
 {
 	if (doc->pending.revision > doc->current.revision)
@@ -196,7 +200,10 @@
 	oldest->revision = revision;
 }
 
-/* Another source of at least this revision than the one given, or that one. */
+/*
+ * Returns a source, other than `excluded`, of this or a later revision;
+ * `excluded` itself if there is none.
+ */
 static pimento_id_t alternative_source(config_sync_t *config_sync,
 				       const config_sync_document_t *doc,
 				       uint64_t revision, pimento_id_t excluded)
@@ -237,7 +244,7 @@
 	send_pull(config_sync, now, subject);
 }
 
-/* After one text was taken over, an even newer one may be known of. */
+/* While one text was transferred, a peer may have announced a newer one. */
 static void fetch_newest(config_sync_t *config_sync, pimento_usec_t now,
 			 unsigned int subject)
 {
@@ -365,7 +372,10 @@
 	return NULL;
 }
 
-/* Makes the difference from a base to the current text; false if useless. */
+/*
+ * Creates the difference from a base to the current text. Returns false if it
+ * cannot be made or is no shorter than the text.
+ */
 static bool prepare_delta(config_sync_document_t *doc, uint64_t base)
 {
 	const text_version_t *from = find_base(doc, base);
@@ -416,7 +426,10 @@
 	return PIMENTO_OK;
 }
 
-/* Turns the bytes received into the text; false if they do not make it. */
+/*
+ * Builds the text from the received bytes. Returns false if that fails or the
+ * text does not match its digest.
+ */
 static bool fetch_assemble(const config_sync_document_t *doc,
 			   text_version_t *version)
 {
@@ -460,7 +473,10 @@
 		doc->pending = version;
 		return;
 	}
-	/* Pulled again only by the timeout: no loop at the network's speed. */
+	/*
+	 * Pull again only after the timeout: an immediate retry could loop at
+	 * the speed of the network.
+	 */
 	free(doc->fetch.bytes);
 	doc->fetch.bytes = NULL;
 	doc->fetch.received = 0;
@@ -555,7 +571,10 @@
 	return doc->pending.text;
 }
 
-/* The newest former texts stay as bases, within a bound of bytes. */
+/*
+ * Moves the current text into the history, which is bounded in entries and
+ * bytes.
+ */
 static void push_history(config_sync_document_t *doc)
 {
 	size_t bytes = 0;
@@ -624,7 +643,9 @@
 
 	if (span < READ_INTERVAL_MIN)
 		span = READ_INTERVAL_MIN;
-	/* A quarter either way, so that the hosts' reads do not fall together.
+	/*
+	 * Up to a quarter shorter or longer, so that the hosts' reads do not
+	 * coincide.
 	 */
 	*interval = span * 3 / 4 + (pimento_usec_t)(own % (uint64_t)span) / 2;
 	for (uint32_t i = 0; i < count; i++)
--- a/src/config_sync.h
+++ b/src/config_sync.h
@@ -2,23 +2,24 @@
 #define CONFIG_SYNC_H
 
 /*
- * Spreads the two published texts (configuration and host list) among the
- * hosts. A few hosts, by hash, watch the platform; the rest learn of a new
- * revision from offers and probes, pull it from whoever has it, and read the
- * platform themselves only as a slow backstop. Revisions only move up. Only
- * what changed travels.
+ * Distributes the two published documents (configuration and host list) among
+ * the hosts. A few hosts, chosen by hash, watch the platform; the others learn
+ * of a new revision from offers and probes, pull it from any host that has it,
+ * and read the platform only as a slow fallback. Revisions only increase. Only
+ * differences are transferred.
  *
- * The receiver drives a transfer: it pulls one part, and the next when that
- * came in. So neither side holds more than one part in flight, a lost message
- * costs one timeout, and a sender that died is replaced by another holder.
+ * The receiver drives a transfer: it pulls one part, and the next one when that
+ * has arrived. So neither side has more than one part in flight, a lost message
+ * costs one timeout, and a sender that died is replaced by another source.
  */
 
 #include "message.h"
 
 /*
- * Enough that when two regions lose each other, both almost surely hold some
- * (all lie on one side once in 128 cuts): a side without one learns nothing
- * until it has found the other side's hosts dead.
+ * Hosts that watch the platform. When two regions lose contact, both almost
+ * surely have some of these hosts (all eight are on one side in one of 128
+ * partitions): a side with none learns of no new revision until it has declared
+ * the other side's hosts dead.
  */
 #define CONFIG_SYNC_POLLERS 8
 #define CONFIG_SYNC_TEXT_MAX ((size_t)1024 * 1024)
@@ -26,8 +27,8 @@
 typedef struct config_sync_options {
 	pimento_id_t self;
 	uint64_t seed;
-	uint32_t
-		pollers; /* hosts that watch the platform; 0: CONFIG_SYNC_POLLERS */
+	/* hosts that watch the platform; 0: CONFIG_SYNC_POLLERS */
+	uint32_t pollers;
 } config_sync_options_t;
 
 typedef struct config_sync_document config_sync_document_t;
@@ -39,8 +40,8 @@
 	outbox_t *out;
 	pimento_random_t random;
 	config_sync_document_t *documents; /* one per config_sync_subject_t */
-	pimento_id_t
-		peers[CONFIG_SYNC_PEERS_MAX]; /* heard lately; get the offers */
+	/* recently seen peers, to which new revisions are offered */
+	pimento_id_t peers[CONFIG_SYNC_PEERS_MAX];
 	uint32_t peer_next;
 } config_sync_t;
 
@@ -49,46 +50,58 @@
 void config_sync_finish(config_sync_t *config_sync);
 
 /*
- * A text read from the platform. One that is no newer than what is held, or
- * that was rejected at this revision, is ignored (PIMENTO_ESTALE). Returns
- * PIMENTO_ETOOBIG over CONFIG_SYNC_TEXT_MAX, PIMENTO_EBUSY while another text
- * awaits judgement, PIMENTO_ENOMEM.
+ * Submits a text read from the platform, which is copied and then awaits
+ * config_sync_resolve_pending(). Returns PIMENTO_ESTALE for a text that is no
+ * newer than the one held or that was rejected at this revision,
+ * PIMENTO_ETOOBIG over CONFIG_SYNC_TEXT_MAX bytes, PIMENTO_EBUSY while another
+ * text awaits validation, PIMENTO_EINVAL for an unknown subject or revision 0,
+ * PIMENTO_ENOMEM.
  */
 int config_sync_submit(config_sync_t *config_sync, pimento_usec_t now,
 		       config_sync_subject_t subject, uint64_t revision,
 		       const char *text, size_t length);
 
-/* Takes MESSAGE_OFFER, _PULL, _PART. Malformed ones return PIMENTO_EINVAL. */
+/*
+ * Handles MESSAGE_OFFER, MESSAGE_PULL and MESSAGE_PART. Returns PIMENTO_EINVAL
+ * for messages of other kinds and malformed ones, PIMENTO_ENOMEM.
+ */
 int config_sync_receive(config_sync_t *config_sync, pimento_usec_t now,
 			pimento_id_t from, const message_t *message);
 
-/* A probe told that a peer holds this revision: pulls if it is newer. */
+/*
+ * Records that a peer reported this revision on a probe; pulls it if it is
+ * newer.
+ */
 void config_sync_learn_revision(config_sync_t *config_sync, pimento_usec_t now,
 				pimento_id_t from,
 				config_sync_subject_t subject,
 				uint64_t revision);
 
 /*
- * Returns a whole new text that awaits judgement, or NULL. The caller checks
- * it and says config_sync_resolve_pending(); the text stays valid until then.
+ * Returns a completely received text that awaits validation, or NULL. The
+ * caller validates it and calls config_sync_resolve_pending(); the text stays
+ * valid until then.
  */
 const char *config_sync_pending(config_sync_t *config_sync,
 				config_sync_subject_t subject,
 				uint64_t *revision, size_t *length);
 
-/* accepted: in force from now. Else it stays refused at this revision. */
+/*
+ * accepted: the text is in force from now on. Otherwise it stays rejected at
+ * this revision.
+ */
 void config_sync_resolve_pending(config_sync_t *config_sync, pimento_usec_t now,
 				 config_sync_subject_t subject, bool accepted);
 
-/* Revision in force, 0 none. */
+/* Revision of the document in force; 0: none. */
 uint64_t config_sync_revision(const config_sync_t *config_sync,
 			      config_sync_subject_t subject);
 
 /*
- * How this host should read the platform now: true to watch (blocking read),
- * false to read once each *interval. The interval is config_sync over the hosts by
- * hash and grows with the fleet, so that the backstop of all hosts together
- * never reads more often than twice a second for each text.
+ * How this host should read the platform: returns true to watch it (blocking
+ * read), false to read it once per *interval. The interval differs between
+ * hosts, by hash, and grows with the fleet, so that the fallback reads of all
+ * hosts together never exceed two per second for each document.
  */
 bool config_sync_is_poller(const config_sync_t *config_sync,
 			   const pimento_id_t *live, uint32_t count,
--- a/src/member_table.c
+++ b/src/member_table.c
@@ -1,10 +1,11 @@
 /*
- * What is held of a subject is a join: the higher version wins, at the same
- * version the higher incarnation, then the worse state; leaving is a mark on
- * an incarnation that is only ever added. So the order and number of messages
- * do not matter, and hosts that hear the same end up holding the same.
+ * The state of a member is a join: the higher version wins; at the same version
+ * the higher incarnation, then the worse liveness. Leaving is a mark on an
+ * incarnation, and marks are only ever added. So the order and number of
+ * messages do not matter, and hosts that receive the same facts end up with the
+ * same state.
  *
- * Rumours are told a bounded number of times and can miss a host. Therefore
+ * An update is sent a bounded number of times and can miss a host. Therefore
  * each message also carries a few facts in rotation (anti-entropy).
  */
 
@@ -13,9 +14,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define UPDATE_SENDS 3 /* times log2 of the fleet, a rumour is told */
-#define ANTI_ENTROPY_FACTS 2 /* facts told in rotation on each message */
-#define VERSION_MAX (1U << 30) /* beyond it a fact is malformed */
+#define UPDATE_SENDS 3 /* messages per log2(hosts) that carry an update */
+#define ANTI_ENTROPY_FACTS 2 /* rotating facts on each message */
+#define VERSION_MAX (1U << 30) /* facts with a higher version are malformed */
 
 uint32_t member_log2(uint32_t n)
 {
@@ -26,7 +27,7 @@
 	return bits;
 }
 
-/* First index whose id is not below the one given. */
+/* Index of the first member whose id is not less than the given id. */
 static uint32_t lower_bound(const membership_t *m, pimento_id_t id)
 {
 	uint32_t low = 0;
@@ -74,7 +75,7 @@
 	return PIMENTO_OK;
 }
 
-/* A newcomer gets a random turn in what is left of the round. */
+/* A new host gets a random position in the rest of the current probe round. */
 static void probe_order_add(membership_t *m, pimento_id_t id)
 {
 	uint32_t left = m->probe_order_count - m->probe_order_next + 1;
@@ -141,7 +142,7 @@
 	       member->leaving_incarnation == member->incarnation;
 }
 
-/* Merely met hosts count only once they were heard. */
+/* A host that is not listed counts only once a fact about it has arrived. */
 bool member_is_known(const member_t *member)
 {
 	return member->listed || member->version;
@@ -214,7 +215,10 @@
 		fact_of(member, state, &p->facts[p->count++]);
 }
 
-/* Leaving and a bad state are two facts; joined they say both. */
+/*
+ * A member that is leaving and also suspect or dead takes two facts, which the
+ * receiver merges.
+ */
 void member_put_facts(message_probe_t *p, const member_t *member)
 {
 	if (member_is_leaving(member))
@@ -227,7 +231,10 @@
 		put_fact(p, member, HOST_LIVE);
 }
 
-/* Puts what is left to tell at min_left min_left and at max_left max_left times, in turn. */
+/*
+ * Adds the states of members that have from min_left to max_left sends left, in
+ * turn, until the message holds `room` facts.
+ */
 static void put_updates(membership_t *m, message_probe_t *p, uint32_t room,
 			uint32_t min_left, uint32_t max_left)
 {
@@ -249,7 +256,10 @@
 	}
 }
 
-/* So often or more is left to tell what a message has room for. */
+/*
+ * Returns the highest number of sends left such that the members with that many
+ * or more fill `room` facts; 1 if all fit.
+ */
 static uint32_t send_threshold(const membership_t *m, uint32_t room)
 {
 	uint32_t counts[UINT8_MAX + 1] = { 0 };
@@ -263,10 +273,10 @@
 }
 
 /*
- * The freshest news goes first: what was told min_left often, in turn among those
- * told equally often. When a data centre starts or is lost, word of it fills
- * every message for a minute or more; a death told in turn with the rest would
- * wait that long, and requests with the dead host.
+ * Updates that were sent least often go first, in turn among those sent equally
+ * often. When a data centre starts or is lost, updates about its hosts fill
+ * every message for a minute or more; if a death had to wait for its turn among
+ * them, so would the requests at the dead host.
  */
 void member_put_updates(membership_t *m, message_probe_t *p)
 {
@@ -329,7 +339,7 @@
 	return fact->state == HOST_SUSPECT ? LIVENESS_SUSPECT : LIVENESS_LIVE;
 }
 
-/* Takes over a newer version, perhaps of another incarnation. */
+/* Applies a fact with a newer version, perhaps of another incarnation. */
 static void apply_newer_fact(membership_t *m, pimento_usec_t now,
 			     member_t *member, const message_fact_t *fact)
 {
@@ -338,7 +348,9 @@
 	if (!member->incarnation && fact->incarnation &&
 	    member->has_leaving_incarnation && !member->leaving_incarnation)
 		member->leaving_incarnation = fact->incarnation;
-	/* No incarnation to bind a mark to: the newer word decides. */
+	/*
+	 * The leaving mark is bound to no incarnation: the newer fact decides.
+	 */
 	if (!fact->incarnation && !member->leaving_incarnation)
 		member->has_leaving_incarnation = false;
 	member->incarnation = fact->incarnation;
--- a/src/membership.c
+++ b/src/membership.c
@@ -1,11 +1,11 @@
 /*
- * Membership in the manner of SWIM (Das, Gupta, Motivala, 2002): one probe a
- * period whatever the fleet's size, in a shuffled round so that every host's
- * turn comes within a bounded time; indirect probes before a suspicion, a
- * suspicion before a death, and facts that ride on probes and acks.
+ * SWIM membership (Das, Gupta, Motivala, 2002): one probe per period whatever
+ * the size of the fleet, in a shuffled round so that each host is probed within
+ * a bounded time; indirect probes before a suspicion, a suspicion before a
+ * death, and facts that ride on probes and acks.
  *
- * Dead hosts keep their turn in the round: without that, two sides of a healed
- * partition would hold each other dead for good.
+ * Dead hosts stay in the round: otherwise the two sides of a healed network
+ * partition would consider each other dead for ever.
  */
 
 #include "member_table.h"
@@ -13,13 +13,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PROBE_TIMEOUT (80 * PIMENTO_MSEC) /* many round trips of 1 ms links */
-#define INDIRECT_PROBES 3 /* hosts asked to probe in our place */
-#define SUSPICION_PERIODS 2 /* times log2 of the fleet, before death */
-#define PAUSE_PERIODS 4 /* a longer gap between ticks is a pause */
-#define RESUME_PROBES 4 /* a period, until fresh */
-#define SEQUENCE_SHIFT 24 /* leaves 40 random bits to start from */
-#define BACKLOG_PROBES 2 /* more a period, while there is much to tell */
+/* many times the round trip of 1 ms links */
+#define PROBE_TIMEOUT (80 * PIMENTO_MSEC)
+#define INDIRECT_PROBES 3 /* hosts that are to probe an unresponsive host */
+/* probe periods per log2(hosts) from suspicion to death */
+#define SUSPICION_PERIODS 2
+/* probe periods; a longer gap between ticks is a pause */
+#define PAUSE_PERIODS 4
+#define RESUME_PROBES 4 /* probes per period while not fresh */
+#define SEQUENCE_SHIFT 24 /* sequence numbers start at a random 40-bit value */
+/* extra probes per period while updates exceed one message */
+#define BACKLOG_PROBES 2
 #define FRESH_ACKS 2
 #define PLATFORM_READ_GRACE (2 * PIMENTO_SEC)
 #define DEAD_HOST_RETENTION (60 * PIMENTO_SEC)
@@ -41,9 +45,10 @@
 	pimento_random_init(&membership->random, options->seed ^ options->self ^
 							 options->incarnation);
 	/*
-	 * A peer that stood still may answer a probe of this host's former
-	 * incarnation only now. Counted as an answer to a probe of ours it
-	 * would confirm, after a pause, what nobody has looked at.
+	 * A peer that was paused may only now answer a probe from a former
+	 * incarnation of this host. Sequence numbers start at random so that
+	 * such an ack is not taken for one to a current probe: after a pause it
+	 * would confirm state that no peer has checked.
 	 */
 	membership->sequence =
 		pimento_random_next(&membership->random) >> SEQUENCE_SHIFT;
@@ -68,11 +73,11 @@
 }
 
 /*
- * A process that stood still believes what was true before. It would show as
- * work granted or dispatched under a configuration that everyone else has left
- * behind. Ticks come at least once a period, so a long gap between them gives
- * the pause away; every entry point looks for it, because after a wake much
- * can be handled before the next tick.
+ * A process that was paused still holds the state from before the pause, and
+ * would grant or dispatch work under a configuration that all other hosts have
+ * replaced. Ticks come at least once per probe period, so a long gap between
+ * them reveals the pause. Every entry point checks for it, because much can be
+ * handled between the end of the pause and the next tick.
  */
 static bool was_paused(const membership_t *m, pimento_usec_t now)
 {
@@ -155,7 +160,10 @@
 	update_freshness(membership);
 }
 
-/* The first fact is always the sender's own, in its own words. */
+/*
+ * The first fact is always the sender's own. Facts about the receiver follow if
+ * it may have to refute them.
+ */
 static void send_probe_message(membership_t *m, message_kind_t kind,
 			       pimento_id_t to, pimento_id_t target,
 			       uint64_t sequence)
@@ -211,7 +219,10 @@
 	member->listed = true;
 	if (entry->leaving && !(was_listed && member->listed_leaving))
 		member_set_leaving(m, member);
-	/* Live again on a later list, no incarnation named: a new process. */
+	/*
+	 * A later list shows an endpoint of unknown incarnation as live again:
+	 * it is taken for a new process.
+	 */
 	if (!entry->leaving && member->is_endpoint && !member->incarnation &&
 	    member->has_leaving_incarnation &&
 	    (!was_listed || member->listed_leaving)) {
@@ -321,7 +332,10 @@
 		membership->probe_sequence = 0;
 	if (member->liveness == LIVENESS_SUSPECT)
 		member->liveness_since = now;
-	/* It does not know that it is held dead: tell it, it will refute. */
+	/*
+	 * The host is alive but recorded as dead: probe it next, so that it
+	 * learns of this and refutes it.
+	 */
 	if (member->liveness == LIVENESS_DEAD)
 		membership->priority_target = from;
 }
@@ -520,7 +534,10 @@
 {
 	uint32_t sent = 0;
 
-	/* The target may have been forgotten since, and nobody be left. */
+	/*
+	 * The target may have been removed since, leaving no host to send
+	 * through.
+	 */
 	if (!m->probe_order_count)
 		return;
 	for (uint32_t i = 0; i < 4 * INDIRECT_PROBES && sent < INDIRECT_PROBES;
@@ -546,10 +563,10 @@
 }
 
 /*
- * After the loss or return of many hosts at once there is more to tell than
- * fits on a message, and until all know of all, some endpoints have two
- * owners. A few messages more, to anybody, shorten that; without such news
- * none are sent.
+ * After the loss or return of many hosts at once there are more updates than
+ * fit on one message, and until every host has all of them, some endpoints have
+ * two owners. A few more probes per period, to random hosts, shorten that time;
+ * none are sent without such a backlog.
  */
 static void send_backlog_probes(membership_t *m)
 {
--- a/src/peers.c
+++ b/src/peers.c
@@ -1,9 +1,9 @@
 /*
- * Freshness travels with an echo. A message may have lain in the socket of a host
- * that was frozen; counted from its arrival, the age that it states would look
- * seconds younger than it is, and keys that were taken away would be honoured.
- * So a statement counts from the receiver's own stamp that it echoes: that
- * stamp was surely taken before the statement was written.
+ * How the age of a peer's replica is bounded. A gossip message may have lain in
+ * the socket of a host that was frozen; counted from its arrival, the age
+ * stated in the message would look seconds lower than it is, and revoked keys
+ * would be accepted. So the age counts from the receiver's own stamp that the
+ * message echoes: that stamp was surely taken before the message was written.
  */
 
 #include "peers.h"
@@ -11,25 +11,31 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A peer's counts are believed for so long; notes come every 100 ms or so. */
+/* Reports older than this are ignored; messages come about every 100 ms. */
 #define REPORT_MAX_AGE (2500 * PIMENTO_MSEC)
-/* A peer that was not heard for this long is only tried now and then. */
+/* A peer that sent no message for this long gets gossip only occasionally. */
 #define UNRESPONSIVE_AFTER (5 * PIMENTO_SEC)
-/* A host that never answered, or was silent as long, is dropped. */
+/* A peer, other than a seed, that sent no message for this long is removed. */
 #define PEER_RETENTION (60 * PIMENTO_SEC)
-/* Discovery ends after DISCOVERY_MAX, or DISCOVERY_IDLE without a new peer. */
+/*
+ * Discovery ends after DISCOVERY_MAX, or after DISCOVERY_IDLE without a new
+ * peer.
+ */
 #define DISCOVERY_MAX (5 * PIMENTO_SEC)
 #define DISCOVERY_IDLE (200 * PIMENTO_MSEC)
-/* A host that was started alone waits so long for the first peer. */
+/* How long a starting host waits for the first message from a peer. */
 #define DISCOVERY_FIRST_PEER (500 * PIMENTO_MSEC)
-/* Quiet hosts are written to in one of so many turns. */
+/* Unresponsive peers get gossip in one of this many turns. */
 #define UNRESPONSIVE_TURNS 8
 
-/* Between probes; facts and ages ride on them. */
+/* Time between probes, which also carry facts and replica ages. */
 #define PROBE_PERIOD (150 * PIMENTO_MSEC)
-/* Probes and acks between two drains. */
+/* Probes and acks that can be queued until the outbox is drained. */
 #define OUTBOX_CAPACITY 256
-/* Two hosts that are not paused tell each other the same number. */
+/*
+ * Configuration revision that a host reports in probes unless it was paused;
+ * the same on all hosts.
+ */
 #define UNPAUSED_REVISION 1
 
 int peers_init(peers_t *peers, uint32_t self, uint64_t incarnation)
@@ -60,7 +66,7 @@
 	outbox_finish(&peers->out);
 }
 
-/* An order of the hosts in which neighbours lie apart. */
+/* Sort key that places neighbouring addresses far apart. */
 static uint32_t address_hash(uint32_t address)
 {
 	return address * 2654435761u;
@@ -117,7 +123,10 @@
 		peer->revisions[kind] = message->replicas[kind].revision;
 }
 
-/* Takes what a message says of hosts, also if a later one came before it. */
+/*
+ * Merges the membership facts of a message, also if a later message arrived
+ * first.
+ */
 static int merge_membership(peers_t *peers, const gossip_message_t *message,
 			    pimento_usec_t now)
 {
@@ -150,7 +159,7 @@
 	return address_hash(a->address) < address_hash(b->address);
 }
 
-/* The poller that goes if another is to have its place. */
+/* The poller that is replaced first when the poller table is full. */
 static known_poller_t *lowest_ranked_poller(peers_t *peers)
 {
 	known_poller_t *last = &peers->pollers[0];
@@ -390,7 +399,10 @@
 	return before < PEERS_POLLERS;
 }
 
-/* Known pollers; first counts those that would stay before us. */
+/*
+ * Returns the number of known pollers; *first receives the number of those that
+ * precede this host.
+ */
 static uint32_t count_pollers(const peers_t *peers, pimento_usec_t now,
 			      uint32_t *first)
 {
@@ -417,7 +429,9 @@
 
 	if (poller)
 		return first < PEERS_POLLERS;
-	/* Each that is missing is made up for by about one of the others. */
+	/*
+	 * About one of the other hosts starts to poll for each missing poller.
+	 */
 	if (pollers >= PEERS_POLLERS)
 		return false;
 	return draw % peers_host_count(peers, now) < PEERS_POLLERS - pollers;
--- a/test/peers_sim.c
+++ b/test/peers_sim.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 #define STEP (10 * PIMENTO_MSEC)
-#define PROBE_STEPS 5 /* an edge ticks 20 times a second */
+#define PROBE_STEPS 5 /* the daemon calls peers_tick() 20 times per second */
 #define GOSSIP_STEPS 10
 #define SEEDS 3
 #define TARGETS 2
@@ -80,7 +80,10 @@
 	from->bytes_sent += length > 0 ? (uint64_t)length : 0;
 }
 
-/* What a frozen host would read after it wakes is lost instead. */
+/*
+ * Messages to a frozen host are lost here, whereas a real host would read them
+ * after it resumes.
+ */
 static void deliver(peers_sim_t *sim, uint32_t from, gossip_message_t *message,
 		    uint32_t address)
 {
@@ -90,7 +93,7 @@
 
 	message->address = peers_sim_address(from);
 	message->incarnation = sim->hosts[from].incarnation;
-	message->stamp = ++sim->now; /* no two notes at the same moment */
+	message->stamp = ++sim->now; /* gossip messages have distinct stamps */
 	message->quota_count =
 		quota ? quota_collect_reports(quota, message->quotas,
 					      GOSSIP_QUOTAS_MAX, sim->now)
@@ -186,7 +189,7 @@
 {
 	uint32_t wrong = 0;
 
-	/* one that errs is enough to know that they do not agree yet */
+	/* one host with a wrong state shows that the hosts do not agree yet */
 	for (uint32_t i = 0; i < sim->count && !wrong; i++) {
 		const peers_t *peers = &sim->hosts[i].roster;
 
--- a/test/peers_sim.h
+++ b/test/peers_sim.h
@@ -2,9 +2,9 @@
 #define PEERS_SIM_H
 
 /*
- * The rosters of many entry hosts in virtual time: hosts that die, restart and
- * stand still, links that lose and are cut one way. Everything follows from
- * the seed.
+ * Simulates the peers and membership state of many entry hosts in virtual time:
+ * hosts die, restart and freeze, links lose messages and are cut, also in one
+ * direction only. The seed determines everything.
  */
 
 #include "peers.h"
@@ -17,28 +17,32 @@
 	bool up;
 	bool leaving;
 	pimento_usec_t frozen_until;
-	bool drops_input; /* sends, and receives nothing */
-	uint8_t partition; /* hosts of different sides cannot reach one another */
-	quota_t *quota; /* whose reports go with its notes; NULL none */
-	uint64_t messages_sent; /* sent */
-	uint64_t bytes_sent; /* of them, encoded */
+	bool drops_input; /* the host sends messages, but receives none */
+	/* hosts with different values cannot reach one another */
+	uint8_t partition;
+	/* its reports are sent in gossip messages; NULL: none */
+	quota_t *quota;
+	uint64_t messages_sent;
+	/* encoded size of the messages sent, if measure_bytes */
+	uint64_t bytes_sent;
 } peers_sim_host_t;
 
 typedef struct peers_sim {
 	peers_sim_host_t *hosts;
 	uint32_t count;
-	uint32_t targets; /* of plain notes, each 100 ms */
+	/* gossip targets per host every 100 ms, besides probes */
+	uint32_t targets;
 	pimento_random_t random;
 	pimento_usec_t now;
 	uint32_t step;
 	double loss;
-	bool measure_bytes; /* count bytes */
+	bool measure_bytes; /* whether bytes_sent is counted */
 } peers_sim_t;
 
 void peers_sim_init(peers_sim_t *sim, uint32_t count, uint64_t seed);
 void peers_sim_finish(peers_sim_t *sim);
 
-/* The address of a host, by its index, and the reverse. */
+/* Convert the index of a host to its address, and back. */
 uint32_t peers_sim_address(uint32_t host);
 uint32_t peers_sim_host_index(uint32_t address);
 
@@ -46,14 +50,23 @@
 void peers_sim_kill(peers_sim_t *sim, uint32_t host);
 void peers_sim_run(peers_sim_t *sim, pimento_usec_t span);
 
-/* Of so many endpoints, those whose owner is not the same for all hosts. */
+/*
+ * Number of endpoints, out of the given number, on whose owner the running
+ * hosts disagree.
+ */
 uint32_t peers_sim_disputed_owners(const peers_sim_t *sim, uint32_t endpoints);
 
-/* Hosts that are up and hold another for live that is not, or the reverse. */
-/* No less than one; not all are counted. */
+/*
+ * Number of wrong liveness states: a running host considers a host live that is
+ * down or leaving, or the reverse. 0 only if there are none; else only the
+ * errors of one host are counted.
+ */
 uint32_t peers_sim_wrong_states(const peers_sim_t *sim);
 
-/* Runs until misjudged is 0; returns the span, or limit if it never was. */
+/*
+ * Runs until peers_sim_wrong_states() is 0. Returns the time that this took, or
+ * limit if it was not reached.
+ */
 pimento_usec_t peers_sim_converge(peers_sim_t *sim, pimento_usec_t limit);
 
 #endif
--- a/test/test_config_sync.c
+++ b/test/test_config_sync.c
@@ -1,5 +1,5 @@
 /*
- * Differences between texts, and the spread of the two published texts.
+ * Differences between texts, and distribution of the two published documents.
  */
 
 #include "delta.h"
@@ -34,7 +34,10 @@
 	}
 }
 
-/* Delivers everything until it is idle; returns messages and their bytes. */
+/*
+ * Delivers messages until all outboxes are empty. Returns their number and adds
+ * the bytes of transferred parts to *bytes.
+ */
 static uint32_t deliver(pimento_usec_t now, size_t *bytes)
 {
 	uint32_t messages = 0;
@@ -112,16 +115,16 @@
 	size_t length;
 	int error;
 } bad_deltas[] = {
-	{ "\x80", 1, PIMENTO_EPARSE }, /* number cut off */
+	{ "\x80", 1, PIMENTO_EPARSE }, /* truncated number */
 	{ "\x09"
 	  "\x00",
-	  2, PIMENTO_EPARSE }, /* copies 4 bytes of a base of 3 */
+	  2, PIMENTO_EPARSE }, /* copies 4 bytes from a base of 3 */
 	{ "\x03"
 	  "\x04",
-	  2, PIMENTO_EPARSE }, /* from beyond the base */
+	  2, PIMENTO_EPARSE }, /* copies from beyond the end of the base */
 	{ "\x06"
 	  "a",
-	  2, PIMENTO_EPARSE }, /* fewer new bytes than said */
+	  2, PIMENTO_EPARSE }, /* fewer new bytes than stated */
 	{ "\x7e", 1, PIMENTO_ETOOBIG },
 };
 
@@ -181,9 +184,9 @@
 END_TEST
 
 /*
- * Somebody publishes a configuration that fails its checks, and peers go on
- * telling of it. If the refusing host fetched it again each time, operators
- * would see steady traffic and a log full of the same mistakes.
+ * A published configuration fails its checks, and peers keep announcing it. If
+ * the host fetched the rejected text at each announcement, operators would see
+ * steady traffic and a log full of the same errors.
  */
 START_TEST(rejected_text_is_not_fetched_again)
 {
@@ -211,9 +214,9 @@
 END_TEST
 
 /*
- * The peer that a text is being pulled from dies half way. The host must go on
- * with another peer that has it, or it would stay on the old configuration
- * until that one comes back.
+ * The peer from which a text is being pulled dies midway. The host must
+ * continue with another peer that has the text; otherwise it would keep the old
+ * configuration until the dead peer returns.
  */
 START_TEST(transfer_resumes_from_another_peer)
 {
@@ -236,7 +239,8 @@
 	config_sync_receive(&hosts[0], 0, 3, &m);
 	outbox_take(&outboxes[0], &to, &m);
 	config_sync_receive(&hosts[2], 0, 1, &m);
-	outbox_take(&outboxes[2], &to, &m); /* lost: host 1 is dead */
+	/* host 1 is dead: the next pull is lost */
+	outbox_take(&outboxes[2], &to, &m);
 	config_sync_tick(&hosts[2], config_sync_deadline(&hosts[2]));
 	deliver(0, NULL);
 	ck_assert_str_eq(config_sync_pending(&hosts[2], CONFIG_SYNC_CONFIG,
@@ -301,8 +305,8 @@
 
 int main(void)
 {
-	Suite *suite = suite_create("spread");
-	TCase *tc = tcase_create("spread");
+	Suite *suite = suite_create("config_sync");
+	TCase *tc = tcase_create("config_sync");
 	SRunner *runner;
 	int failed;
 
--- a/test/test_membership.c
+++ b/test/test_membership.c
@@ -1,6 +1,6 @@
 /*
- * Membership: what is held of a host after each order of facts, who owns an
- * endpoint, and what a gap between ticks does.
+ * Membership: the state that results from facts in every order, the owners of
+ * endpoints, and the effects of a process pause.
  */
 
 #include "membership.h"
@@ -12,7 +12,7 @@
 #define SELF 100
 #define PEER 200
 #define ENDPOINT 900
-#define OLD_INCARNATION 5 /* incarnations of the peer */
+#define OLD_INCARNATION 5 /* incarnations of PEER */
 #define NEW_INCARNATION 3
 
 static membership_t membership;
@@ -65,7 +65,7 @@
 		inc, version, HOST_LEAVING \
 	}
 
-/* What is held after facts that arrive in every order, each also twice. */
+/* Expected state after facts that arrive in every order, each of them twice. */
 static const struct {
 	const char *name;
 	uint32_t count;
@@ -77,17 +77,13 @@
 	host_state_t state;
 	uint64_t incarnation;
 } merge_cases[] = {
-	{ "lives",
-	  1,
-	  { LIVE(OLD_INCARNATION, 1) },
-	  HOST_LIVE,
-	  OLD_INCARNATION },
-	{ "suspected",
+	{ "live", 1, { LIVE(OLD_INCARNATION, 1) }, HOST_LIVE, OLD_INCARNATION },
+	{ "suspect",
 	  2,
 	  { LIVE(OLD_INCARNATION, 1), SUSPECT(OLD_INCARNATION, 1) },
 	  HOST_SUSPECT,
 	  OLD_INCARNATION },
-	{ "refuted",
+	{ "suspect, refuted",
 	  3,
 	  { LIVE(OLD_INCARNATION, 1), SUSPECT(OLD_INCARNATION, 1),
 	    LIVE(OLD_INCARNATION, 2) },
@@ -105,7 +101,7 @@
 	    LIVE(OLD_INCARNATION, 4) },
 	  HOST_LEAVING,
 	  OLD_INCARNATION },
-	{ "leaving, suspected, refuted",
+	{ "leaving, suspect, refuted",
 	  4,
 	  { LIVE(OLD_INCARNATION, 1), LEAVING(OLD_INCARNATION, 2),
 	    SUSPECT(OLD_INCARNATION, 2), LIVE(OLD_INCARNATION, 3) },
@@ -117,7 +113,7 @@
 	    LIVE(NEW_INCARNATION, 2) },
 	  HOST_LIVE,
 	  NEW_INCARNATION },
-	{ "nor does a death",
+	{ "death does not bind the next incarnation",
 	  3,
 	  { LIVE(OLD_INCARNATION, 1), DEAD(OLD_INCARNATION, 6),
 	    LIVE(NEW_INCARNATION, 7) },
@@ -141,7 +137,7 @@
 	teardown();
 	setup();
 	ck_assert_int_eq(membership_add_host(&membership, now, PEER), 0);
-	/* Meeting is not hearing: it owns nothing yet. */
+	/* A host of which only the address is known owns nothing yet. */
 	ck_assert_int_eq(membership_state(&membership, PEER), HOST_UNKNOWN);
 	apply_facts(i, order, count);
 	ck_assert_msg(membership_state(&membership, PEER) ==
@@ -191,9 +187,9 @@
 }
 
 /*
- * The platform's list shows a host as leaving, and a later list, generated
- * from older knowledge, shows it as live again. Taking that at its word would
- * send new work to a host that is about to stop.
+ * The platform's list shows a host as leaving, and a later list, generated from
+ * older data, shows it as live again. If the later list were trusted, new work would be
+ * sent to a host that is about to stop.
  */
 START_TEST(published_leaving_is_not_reverted)
 {
@@ -208,14 +204,15 @@
 END_TEST
 
 static const struct {
-	uint64_t leaving; /* incarnation that leaves */
-	uint64_t then; /* incarnation seen after */
+	uint64_t leaving; /* incarnation that reports leaving */
+	uint64_t then; /* incarnation that reports live afterwards */
 	host_state_t state;
 } endpoint_cases[] = {
 	{ 0, 0, HOST_LEAVING },
 	{ 8, 8, HOST_LEAVING },
 	{ 8, 9, HOST_LIVE },
-	{ 0, 9, HOST_LEAVING }, /* the first incarnation named is bound */
+	/* leaving applies to the first incarnation reported */
+	{ 0, 9, HOST_LEAVING },
 };
 
 START_TEST(endpoint_leaving_binds_one_incarnation)
@@ -280,9 +277,10 @@
 }
 
 /*
- * The process is stopped for ten seconds, during which a new configuration
- * came into force elsewhere, and goes on. Callers would be served under rules
- * that were withdrawn, until gossip catches up. It has to ask first.
+ * The process is paused for ten seconds, during which a new configuration comes
+ * into force on the other hosts. If it simply continued, it would serve callers
+ * under withdrawn rules until gossip caught up. It must have its state
+ * confirmed by peers first.
  */
 START_TEST(paused_host_is_stale_until_peers_ack)
 {
@@ -297,25 +295,30 @@
 	membership_tick(&membership, now);
 	ck_assert_uint_eq(membership.pauses, 1);
 	ck_assert(!membership_is_fresh(&membership, now));
-	receive_ack_from(PEER, before, 7); /* answers from before the wake */
+	/* acks a probe sent before the pause */
+	receive_ack_from(PEER, before, 7);
 	ck_assert(!membership_is_fresh(&membership, now));
-	/* Answers to a former incarnation of this host, which asked more. */
+	/*
+	 * Acks to a former incarnation of this host, which had sent more
+	 * probes.
+	 */
 	receive_ack_from(PEER, before + 1000, 6);
 	receive_ack_from(300, before + 1001, 6);
 	ck_assert(!membership_is_fresh(&membership, now));
 	receive_ack_from(PEER, before + 1, 7);
 	receive_ack_from(300, before + 2, 6);
-	ck_assert(!membership_is_fresh(&membership,
-				       now)); /* 7 is not yet in force here */
+	/* revision 7 is not in force here yet */
+	ck_assert(!membership_is_fresh(&membership, now));
 	membership.config_revision = 7;
 	ck_assert(membership_is_fresh(&membership, now));
 }
 END_TEST
 
 /*
- * The first thing that a woken process does may be to take a request on, or to
- * take in an answer of the platform that was asked for before the pause. A
- * caller would be served by what was in force then.
+ * The first event after a pause may be a request, or a response of the platform
+ * that was requested before the pause, rather than a tick. If the pause went
+ * unnoticed until the next tick, a caller would be served under the
+ * configuration of before the pause.
  */
 START_TEST(pause_is_detected_before_the_next_tick)
 {
@@ -358,8 +361,8 @@
 
 int main(void)
 {
-	Suite *suite = suite_create("member");
-	TCase *tc = tcase_create("member");
+	Suite *suite = suite_create("membership");
+	TCase *tc = tcase_create("membership");
 	SRunner *runner;
 	int failed;
 
--- a/test/test_peers.c
+++ b/test/test_peers.c
@@ -1,4 +1,4 @@
-/* What hosts hear of each other, and how far it may be believed. */
+/* Peers: which gossip messages and reports are accepted, and for how long. */
 
 #include "packet.h"
 
@@ -50,17 +50,18 @@
 }
 
 /*
- * This host is frozen for four seconds while a peer's message lies in its socket.
- * The message says "my copy is 200 ms old", which was true when it was written.
- * Counted from the moment of reading, keys that were taken away during the
- * freeze would be honoured.
+ * This host is frozen for four seconds while a peer's gossip message lies in
+ * its socket. The message states that the peer's replica is 200 ms old, which
+ * was true when it was written. If the age counted from the moment of reading,
+ * keys revoked during the freeze would be accepted.
  */
 START_TEST(delayed_message_does_not_refresh_replica)
 {
 	gossip_message_t message = message_from(PEER, 50);
 	pimento_usec_t confirmed_at[REPLICA_KIND_COUNT];
 
-	message.echo = 10 * PIMENTO_SEC; /* our stamp before the freeze */
+	/* this host's stamp before the freeze */
+	message.echo = 10 * PIMENTO_SEC;
 	message.replicas[_i].age = 200 * PIMENTO_MSEC;
 	ck_assert_ptr_nonnull(peers_receive(&peers, &message, 14 * PIMENTO_SEC,
 					    confirmed_at));
@@ -80,7 +81,8 @@
 		peers_receive(&peers, &message, PIMENTO_SEC, confirmed_at));
 	ck_assert_int_eq(confirmed_at[_i], INT64_MIN);
 	message.stamp++;
-	message.echo = 2 * PIMENTO_SEC; /* of the future: not ours */
+	/* in the future, so not a stamp of this host */
+	message.echo = 2 * PIMENTO_SEC;
 	ck_assert_ptr_nonnull(
 		peers_receive(&peers, &message, PIMENTO_SEC, confirmed_at));
 	ck_assert_int_eq(confirmed_at[_i], INT64_MIN);
@@ -97,7 +99,8 @@
 		peers_receive(&peers, &message, 200, confirmed_at));
 	ck_assert_ptr_null(peers_receive(&peers, &earlier, 201, confirmed_at));
 	ck_assert_ptr_null(peers_receive(&peers, &message, 202, confirmed_at));
-	earlier.incarnation = 2; /* it has restarted: its clock is another */
+	/* the peer has restarted: its clock is another */
+	earlier.incarnation = 2;
 	ck_assert_ptr_nonnull(
 		peers_receive(&peers, &earlier, 203, confirmed_at));
 }
@@ -121,8 +124,9 @@
 END_TEST
 
 /*
- * The three seeds are down, or stale: the host must still write to them until
- * somebody answers, and then learn of everybody else.
+ * The three seeds may be down or outdated: the host must keep sending to all of
+ * them until a peer responds, and then learn of all other hosts. Otherwise it
+ * would never join the fleet.
  */
 START_TEST(peers_are_discovered_through_seeds)
 {
@@ -157,7 +161,10 @@
 }
 END_TEST
 
-/* With many hosts about eight read the store, and others take over. */
+/*
+ * In a large fleet about eight hosts poll the store, and others replace those
+ * that fail.
+ */
 START_TEST(target_number_of_hosts_poll_the_store)
 {
 	enum { HOSTS = 60, ROUNDS = 50 };
@@ -177,7 +184,9 @@
 	for (uint64_t draw = 0; draw < ROUNDS; draw++)
 		joined += peers_should_poll(&peers, false, draw, now);
 	ck_assert_uint_eq(joined, 0);
-	/* one of them is down; another host passes on that the others read */
+	/*
+	 * one poller is down; another host passes on that the others still poll
+	 */
 	now += 3 * PIMENTO_SEC;
 	relayed = message_from(HOSTS, 200);
 	for (uint32_t i = 3; i < 2 + PEERS_POLLERS; i++)
@@ -186,11 +195,15 @@
 	peers_receive(&peers, &relayed, now, confirmed_at);
 	for (uint64_t draw = 0; draw < peers_host_count(&peers, now); draw++)
 		joined += peers_should_poll(&peers, false, draw, now);
-	ck_assert_uint_eq(joined, 1); /* of sixty, about one steps in */
+	/* out of 60 hosts, about one starts to poll */
+	ck_assert_uint_eq(joined, 1);
 }
 END_TEST
 
-/* Guards against a fleet without readers, or with all, while it starts. */
+/*
+ * Guards against a starting fleet in which no host, or every host, polls the
+ * store.
+ */
 START_TEST(default_pollers_poll_during_discovery)
 {
 	enum { HOSTS = 60 };
@@ -218,9 +231,10 @@
 END_TEST
 
 /*
- * A host has to do with as many endpoints, accounts and engines as a message can
- * name. Too big for a datagram, the message would not be sent at all; peers would
- * take the host for gone, and its engines would change hands.
+ * A host has loads, quotas and owner reports for as many endpoints and accounts
+ * as a gossip message can hold. If the message were too big for a datagram it
+ * would not be sent at all; peers would declare the host dead, and its
+ * endpoints would change owners.
  */
 START_TEST(full_message_round_trips)
 {
@@ -284,9 +298,9 @@
 	ck_assert_uint_eq(read.owner_reports[15].report.event_gap_us, 150000);
 	ck_assert_int_eq(read.owner_reports[15].age, 15 * PIMENTO_MSEC);
 	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++) {
-		ck_assert_int_ge(
-			read.replicas[kind].age,
-			message.replicas[kind].age); /* never younger */
+		/* encoding never lowers the age */
+		ck_assert_int_ge(read.replicas[kind].age,
+				 message.replicas[kind].age);
 		ck_assert_uint_eq(read.replicas[kind].revision,
 				  message.replicas[kind].revision);
 	}
@@ -295,7 +309,10 @@
 }
 END_TEST
 
-/* Guards against hosts that cannot tell of each other after a mass start. */
+/*
+ * Guards against gossip messages too big to send, and hosts that therefore
+ * cannot report each other, after many hosts start at once.
+ */
 START_TEST(message_full_of_facts_round_trips)
 {
 	uint8_t bytes[PACKET_BYTES_MAX];
@@ -321,7 +338,8 @@
 
 static const struct {
 	const char *name;
-	int second_peer_ms; /* time it is added; the first is added at 1000 */
+	/* when the second peer is added; the first is added at 1000 ms */
+	int second_peer_ms;
 	int now_ms;
 	bool discovering;
 } discovery_cases[] = {
@@ -331,7 +349,7 @@
 	{ "a peer added long after the start", 60000, 60100, false },
 };
 
-/* Guards against shares computed from an incomplete host count. */
+/* Guards against shares of limits computed from an incomplete host count. */
 START_TEST(discovery_ends_when_no_more_peers_are_added)
 {
 	peers_add(&peers, 10, true, 1000 * PIMENTO_MSEC);
@@ -345,8 +363,8 @@
 END_TEST
 
 /*
- * Guards against a restarted host that takes itself for the only one, as its
- * seeds have not answered yet.
+ * Guards against a restarted host that takes itself for the only host because
+ * its seeds have not responded yet.
  */
 START_TEST(discovery_lasts_until_a_peer_responds)
 {
@@ -364,7 +382,7 @@
 
 int main(void)
 {
-	Suite *suite = suite_create("roster");
+	Suite *suite = suite_create("peers");
 	TCase *tests = tcase_create("all");
 	SRunner *runner;
 	int failed;
--- a/test/test_peers_fleet.c
+++ b/test/test_peers_fleet.c
@@ -1,6 +1,7 @@
 /*
- * Who lives and who owns an endpoint, as many hosts see it, in virtual time.
- * ROSTER_TABLE=1 prints what docs/DESIGN.md tells of sizes.
+ * Agreement of many hosts on which hosts are live and who owns an endpoint, in
+ * virtual time. ROSTER_TABLE=1 prints the table of fleet sizes for
+ * docs/DESIGN.md.
  */
 
 #include "peers_sim.h"
@@ -15,8 +16,10 @@
 
 static const struct {
 	uint32_t hosts;
-	pimento_usec_t join_time; /* all know all, after a common start */
-	pimento_usec_t death_time; /* all know of the death of a sixth */
+	/* limit until all hosts know each other after a common start */
+	pimento_usec_t join_time;
+	/* limit until all hosts know of the death of a sixth of them */
+	pimento_usec_t death_time;
 } sizes[] = {
 	{ 8, 2 * PIMENTO_SEC, 4 * PIMENTO_SEC },
 	{ 87, 3 * PIMENTO_SEC, 5 * PIMENTO_SEC },
@@ -32,7 +35,7 @@
 		peers_sim_start(sim, i);
 }
 
-/* Guards against endpoints with several owners in a fleet that is sound. */
+/* Guards against endpoints with several owners in a fleet without faults. */
 START_TEST(owners_agree_without_faults)
 {
 	peers_sim_t sim;
@@ -49,7 +52,10 @@
 }
 END_TEST
 
-/* Guards against owners that are gone for longer than the fleet's log allows. */
+/*
+ * Guards against dead hosts that remain owners for longer than the time in
+ * which a death spreads, which grows with the logarithm of the fleet's size.
+ */
 START_TEST(death_reaches_all_hosts_in_time)
 {
 	peers_sim_t sim;
@@ -65,7 +71,7 @@
 }
 END_TEST
 
-/* Guards against owners that move because a host stood still for a moment. */
+/* Guards against owners that change because a host was paused for 600 ms. */
 START_TEST(short_pause_changes_no_owner)
 {
 	peers_sim_t sim;
@@ -83,7 +89,10 @@
 }
 END_TEST
 
-/* Guards against two owners for good after all hosts were killed at once. */
+/*
+ * Guards against endpoints that keep two owners after all hosts were killed and
+ * restarted at once.
+ */
 START_TEST(owners_agree_after_full_restart)
 {
 	peers_sim_t sim;
@@ -101,7 +110,7 @@
 }
 END_TEST
 
-/* Guards against a leaving host that goes on owning endpoints. */
+/* Guards against a leaving host that remains the owner of its endpoints. */
 START_TEST(leaving_host_hands_over_endpoints)
 {
 	peers_sim_t sim;
@@ -138,8 +147,8 @@
 	sim.hosts[1].bytes_sent = 0;
 	peers_sim_run(&sim, 10 * PIMENTO_SEC);
 	changes = peers_owner_changes(&sim.hosts[1].roster) - changes;
-	printf("%5u hosts: joined %5.0f ms, notes/s %5.1f, bytes/s %6.0f, "
-	       "changes in 10 s of calm %llu",
+	printf("%5u hosts: joined %5.0f ms, messages/s %5.1f, bytes/s %6.0f, "
+	       "owner changes in 10 s without faults %llu",
 	       hosts, ms(join_time), (double)sim.hosts[1].messages_sent / 10,
 	       (double)sim.hosts[1].bytes_sent / 10,
 	       (unsigned long long)changes);
@@ -164,7 +173,7 @@
 int main(void)
 {
 	const int count = sizeof(sizes) / sizeof(sizes[0]);
-	Suite *suite = suite_create("roster_fleet");
+	Suite *suite = suite_create("peers_fleet");
 	TCase *tests = tcase_create("all");
 	SRunner *runner;
 	int failed;
