--- a/src/edge_settings.c
+++ b/src/edge_settings.c
@@ -13,12 +13,12 @@
 	}
 
 /* Fractions too: the platform states some of its bounds as such. */
-#define NUMBER_FIELD(key, member, min)                         \
-	{                                                      \
-		key, FIELD_DOUBLE, false, OFFSET(member), min, \
-			VARINT_BYTES_MAX, NULL                 \
+#define NUMBER_FIELD(key, member, min)                                     \
+	{                                                                  \
+		key, FIELD_DOUBLE, false, OFFSET(member), min, NUMBER_MAX, \
+			NULL                                               \
 	}
-#define VARINT_BYTES_MAX 1000000000
+#define NUMBER_MAX 1000000000
 
 /* Values where the platform states none. */
 #define MEMORY_MB_DEFAULT 256
--- a/src/fields.c
+++ b/src/fields.c
@@ -180,8 +180,8 @@
 	}
 }
 
-static const char *read_varint(const field_t *field, const toml_node_t *node,
-			       void *to, char *reason, size_t size)
+static const char *read_integer(const field_t *field, const toml_node_t *node,
+				void *to, char *reason, size_t size)
 {
 	int64_t value;
 
@@ -321,7 +321,7 @@
 			       ? NULL
 			       : "must be a list of strings";
 	default:
-		return read_varint(field, node, to, reason, size);
+		return read_integer(field, node, to, reason, size);
 	}
 }
 
