--- a/src/burn.c
+++ b/src/burn.c
@@ -1,7 +1,8 @@
 /*
- * Rings of buckets, each marked with the interval of time that it counts. A bucket
- * whose mark is not the wanted interval is void, so no pass is needed to clear old
- * ones, and a daemon that was paused for hours reads zeros for that time.
+ * Requests are counted in rings of buckets, each labelled with the interval of
+ * time that it counts. A bucket with another label than the interval looked up
+ * counts as empty. Expired buckets therefore need not be cleared, and a process
+ * that was suspended for hours has zero counts for that time.
  */
 
 #include "burn.h"
@@ -11,14 +12,19 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Share of requests that may fail, in the most and the least urgent tier. */
 #define FIRST_TIER_ERROR_BUDGET 0.001
 #define LAST_TIER_ERROR_BUDGET 0.05
 
-#define BURN_RATE_FAST 14.4 /* 2 % of a month's budget in an hour */
-#define BURN_RATE_SLOW 6.0 /* 5 % of a month's budget in six hours */
+/*
+ * Thresholds of the burn rate. A rate of 1 uses up the error budget of a period
+ * in exactly that period.
+ */
+#define BURN_RATE_FAST 14.4 /* 2 % of a month's error budget in 1 h */
+#define BURN_RATE_SLOW 6.0 /* 5 % of a month's error budget in 6 h */
 #define BURN_RATE_SPENT 1.0
 
-/* Below this many bad requests a rate says more of chance than of service. */
+/* With fewer bad requests in a window, its burn rate is not significant. */
 #define MIN_BAD_REQUESTS 3
 
 enum { WINDOW_5_MIN, WINDOW_30_MIN, WINDOW_1_H, WINDOW_6_H, WINDOW_24_H };
@@ -74,7 +80,7 @@
 
 static int64_t interval_at(pimento_usec_t now, int64_t step)
 {
-	/* interval 0 marks a bucket that was never used */
+	/* counted from 1: 0 labels a bucket that was never used */
 	return now / (step * PIMENTO_SEC) + 1;
 }
 
--- a/src/burn.h
+++ b/src/burn.h
@@ -2,13 +2,14 @@
 #define BURN_H
 
 /*
- * Service-level burn: how fast each tier uses up its error budget. Counts the
- * good requests (answered whole while the caller still cared) and all requests
- * of a tier in rings of buckets, so that memory is bounded however long a
- * daemon runs. Requests that were never served under a contract (unknown
- * account, malformed body) and those whose caller left in time do not count.
+ * Error budget burn: how fast each tier uses up the error budget of its service
+ * level objective. Counts the good requests of a tier, which are those answered
+ * completely before their timeout, and all its requests, in rings of buckets, so
+ * that memory is bounded however long the process runs. Not counted are requests
+ * never accepted under a contract (unknown account, malformed body) and those
+ * whose caller disconnected before the timeout.
  *
- * Tiers are counted by name, because a new configuration may give a rank to
+ * Tiers are identified by name, because a new configuration may assign a rank to
  * another tier.
  */
 
@@ -16,29 +17,34 @@
 
 #define BURN_TIERS_MAX ((size_t)2 * PIMENTO_TIERS_MAX)
 
-/* A short window notices quickly, a long one is not misled by a moment. */
+/*
+ * Windows over which requests are counted. Short ones quickly show that a fault
+ * has begun or ended; long ones are not swayed by a short burst of errors.
+ */
 #define BURN_WINDOWS 5
 extern const uint32_t burn_window_seconds[BURN_WINDOWS]; /* 5 min to 24 h */
 
-#define BURN_FINE_STEP_S 10 /* seconds of a bucket, for windows up to 1 h */
+/* The fine ring serves windows of up to 1 h, the coarse one up to 24 h. */
+#define BURN_FINE_STEP_S 10 /* seconds in a bucket of the fine ring */
 #define BURN_FINE_BUCKETS 360
-#define BURN_COARSE_STEP_S 300 /* for longer windows, and the series */
+#define BURN_COARSE_STEP_S 300 /* seconds in a bucket of the coarse ring */
 #define BURN_COARSE_BUCKETS 288
 
+/* Number of requests counted in a window or a bucket. */
 typedef struct burn_count {
 	uint64_t good;
 	uint64_t total;
 } burn_count_t;
 
 typedef struct burn_bucket {
-	int64_t interval; /* time divided by the step; other times are void */
+	int64_t interval; /* label: time divided by the ring's step, plus 1 */
 	uint32_t good;
 	uint32_t total;
 } burn_bucket_t;
 
 typedef struct burn_tier {
 	char name[PIMENTO_NAME_MAX];
-	pimento_usec_t last_used; /* when last counted */
+	pimento_usec_t last_used; /* time of the last request counted */
 	burn_bucket_t fine[BURN_FINE_BUCKETS];
 	burn_bucket_t coarse[BURN_COARSE_BUCKETS];
 } burn_tier_t;
@@ -48,78 +54,89 @@
 	burn_tier_t *tiers;
 } burn_t;
 
-/* Returns 0 or PIMENTO_ENOMEM. Not locked; one thread at a time. */
+/*
+ * Returns 0 or PIMENTO_ENOMEM. Not thread-safe: all calls for one burn_t must
+ * come from one thread at a time.
+ */
 int burn_init(burn_t *burn);
 void burn_finish(burn_t *burn);
 
 /*
- * Counts one request. With BURN_TIERS_MAX names in use, the one that was not
- * counted for longest is forgotten.
+ * Counts one request of a tier. A new name evicts the least recently used one if
+ * BURN_TIERS_MAX names are in use.
  */
 void burn_add(burn_t *burn, const char *tier, bool good, pimento_usec_t now);
 
 /*
- * Whether a refusal with this error is the service's fault and counts as not
- * good. A caller who left, or who sent what can never be served, does not.
+ * Whether a request that failed with this error counts as bad. Errors that the
+ * caller caused do not: it disconnected or sent a request that can never be
+ * served.
  */
 bool burn_error_counts(int error);
 
-/* Counts of the last seconds; both zero for a tier that is not known. */
+/*
+ * Requests of a tier counted in the given number of seconds before now; both
+ * counts are zero for an unknown tier.
+ */
 burn_count_t burn_window_count(const burn_t *burn, const char *tier,
 			       uint32_t seconds, pimento_usec_t now);
 
-/* Rank of a tier that the configuration in force does not name. */
+/* Rank of a tier that the current configuration does not define. */
 #define BURN_RANK_NONE UINT32_MAX
 
-/* One tier as it is reported, merged over hosts, and drawn. */
+/* Burn report of one tier, of one host or merged over several. */
 typedef struct burn_report {
 	char tier[PIMENTO_NAME_MAX];
 	uint32_t rank;
-	double objective;
+	double objective; /* share of requests that must be good */
 	burn_count_t windows[BURN_WINDOWS];
-	burn_count_t series[BURN_COARSE_BUCKETS]; /* by age, newest first */
+	burn_count_t
+		series[BURN_COARSE_BUCKETS]; /* buckets by age, newest first */
 } burn_report_t;
 
 /*
- * Fills the report of burn->tiers[index], index below burn->count. config may
- * be NULL: then every tier is without rank and has the lowest objective.
+ * Fills in the report of burn->tiers[index]; index must be below burn->count.
+ * config gives rank and objective of the tier. Without it (NULL), or if it does
+ * not define the tier, the rank is BURN_RANK_NONE and the objective the lowest.
  */
 void burn_report(const burn_t *burn, uint32_t index,
 		 const pimento_config_t *config, pimento_usec_t now,
 		 burn_report_t *report);
 
 /*
- * Adds the counts of another host. Hosts share no clock, so counts are merged
- * by their age. Where hosts have unlike configurations, the more urgent
- * rank and its objective are kept.
+ * Adds the counts of another host to a report. The clocks of hosts differ, so
+ * buckets are merged by age and not by time. If the hosts have different
+ * configurations, the more urgent rank and its objective are kept.
  */
 void burn_merge(burn_report_t *to, const burn_report_t *from);
 
 /*
- * The objective of a tier, as the share of its requests that must be good:
- * 99.9 % for the most urgent, 95 % for the least; between them the error
- * budget grows by equal factors. A single tier has the first.
+ * Returns the objective of a tier, as the share of its requests that must be
+ * good: 0.999 for the most urgent tier, 0.95 for the least urgent one; between
+ * them the error budget grows by equal factors. A single tier has 0.999.
  */
 double burn_objective(uint32_t rank, uint32_t tier_count);
 
 /*
- * Error budgets used up per budgeted time: 1 uses the budget up exactly, 0 is
- * no bad request. 0 where nothing was counted.
+ * Returns the burn rate: the share of bad requests divided by the error budget.
+ * A rate of 1 uses up the budget of a period in exactly that period. 0 if there
+ * was no bad request, or none at all.
  */
 double burn_rate(burn_count_t count, double objective);
 
 typedef enum burn_state {
-	BURN_IDLE, /* nothing counted in the longest window */
+	BURN_IDLE, /* no request in the last 24 h */
 	BURN_OK,
-	BURN_SPENT, /* over budget in the longest window, over by now */
-	BURN_SLOW, /* over 6 in the last 6 h and still so in 30 min */
-	BURN_FAST /* over 14.4 in the last hour and still so in 5 min */
+	BURN_SPENT, /* rate above 1 in the last 24 h, but neither of the below */
+	BURN_SLOW, /* rate above 6 in the last 6 h and in the last 30 min */
+	BURN_FAST /* rate above 14.4 in the last 1 h and in the last 5 min */
 } burn_state_t;
 
 /*
- * Judges long windows together with short ones: a fault that is over is not
- * reported as going on. A long window with less than three bad requests is
- * never judged, whatever its rate.
+ * Returns the state of a tier. Slow and fast burn need a high rate in a long and
+ * in a short window, so that a fault that has ended is not reported as current.
+ * A long window with fewer than three bad requests is disregarded, as its rate
+ * is not significant.
  */
 burn_state_t burn_evaluate(const burn_report_t *report);
 
--- a/src/burn_page.c
+++ b/src/burn_page.c
@@ -1,7 +1,7 @@
 /*
- * Table and page of the burn report. The plots are inline SVG, drawn in the
- * units of the buckets: one step to the right is five minutes. Each rate is
- * drawn against a line at 1, where the error budget is used up exactly.
+ * Writes burn reports as a text table and as an HTML page. The plots are inline
+ * SVG with one bar for each bucket of five minutes. Burn rates are plotted with
+ * a line at 1, the rate that uses up the error budget exactly.
  */
 
 #include "burn_page.h"
@@ -17,7 +17,7 @@
 #define IMAGE_HEIGHT 150
 #define BAR_WIDTH (PLOT_WIDTH / BURN_COARSE_BUCKETS)
 
-#define RATE_AXIS_MIN 2.0 /* so that the line at 1 is always inside */
+#define RATE_AXIS_MIN 2.0 /* keeps the line at rate 1 inside the plot */
 #define PLOT_HOURS 24
 #define TICK_HOURS 6
 
@@ -66,7 +66,7 @@
 	for (uint32_t i = 0; i < count; i++)
 		add_row(&reports[i], text);
 	if (!count)
-		strbuf_addf(text, "no request was counted yet\n");
+		strbuf_addf(text, "no requests counted so far\n");
 }
 
 static void add_escaped(strbuf_t *text, const char *from)
@@ -83,7 +83,7 @@
 	}
 }
 
-/* Buckets are numbered by age; the newest stands at the right. */
+/* Left edge of a bucket's bar; the newest bucket (age 0) is rightmost. */
 static double bucket_x(int age)
 {
 	return PLOT_LEFT + (BURN_COARSE_BUCKETS - 1 - age) * BAR_WIDTH;
@@ -155,7 +155,7 @@
 {
 	double axis_max = (double)max_bucket_requests(report);
 
-	begin_svg("requests in five minutes", text);
+	begin_svg("requests per five minutes", text);
 	for (int age = BURN_COARSE_BUCKETS - 1; age >= 0; age--) {
 		double good = (double)report->series[age].good;
 		double total = (double)report->series[age].total;
@@ -163,11 +163,11 @@
 		add_bar("good", age, 0, good, axis_max, text);
 		add_bar("bad", age, good, total, axis_max, text);
 	}
-	add_axes(axis_max, "requests in 5 min", text);
+	add_axes(axis_max, "requests per 5 min", text);
 	strbuf_addf(text, "</svg>\n");
 }
 
-/* The next of 1, 2, 5, 10, 20, 50, ... that is not below the value. */
+/* The first of 1, 2, 5, 10, 20, 50, ... that is not below the value. */
 static double round_up_axis_max(double value)
 {
 	static const double steps[] = { 2, 2.5, 2 };
@@ -209,7 +209,7 @@
 		    value_y(1, axis_max));
 	strbuf_addf(text, "<text x=\"%.1f\" y=\"%.1f\">1</text>\n",
 		    PLOT_LEFT + PLOT_WIDTH + 4, value_y(1, axis_max) + 4);
-	add_axes(axis_max, "burn rate of 5 min", text);
+	add_axes(axis_max, "burn rate over 5 min", text);
 	strbuf_addf(text, "</svg>\n");
 }
 
@@ -278,9 +278,9 @@
 	add_escaped(text, when);
 	strbuf_addf(
 		text,
-		", counts of %zu host%s. A request is good if its whole "
-		"answer came while the caller still cared. Rate 1 uses the "
-		"error budget up exactly as fast as the objective allows.</p>"
+		", counts of %zu host%s. A request is good if it was answered "
+		"completely before its timeout. A burn rate of 1 uses up the "
+		"error budget exactly as fast as the objective allows.</p>"
 		"\n",
 		hosts, hosts == 1 ? "" : "s");
 }
--- a/src/burn_page.h
+++ b/src/burn_page.h
@@ -2,8 +2,8 @@
 #define BURN_PAGE_H
 
 /*
- * The burn report for people: a table for a terminal, and a page of HTML that
- * needs nothing from outside.
+ * Writes burn reports for operators: as a text table for a terminal, and as a
+ * self-contained HTML page that loads no other resources.
  */
 
 #include "burn.h"
@@ -12,7 +12,10 @@
 void burn_write_table(const burn_report_t *reports, uint32_t count,
 		      strbuf_t *text);
 
-/* hosts says how many hosts the counts are of; when is printed as it is. */
+/*
+ * hosts is the number of hosts whose counts were merged; when is the time of the
+ * report, shown as given (escaped for HTML).
+ */
 void burn_write_html(const burn_report_t *reports, uint32_t count, size_t hosts,
 		     const char *when, strbuf_t *text);
 
--- a/src/config.c
+++ b/src/config.c
@@ -1,10 +1,10 @@
 /*
- * The configuration in use: look-ups, and the rules of its parts that the
- * questionnaire shares.
+ * Lookups in a parsed configuration, and the checks that its parser and that of
+ * the questionnaire share.
  *
- * Tiers are kept in the order of rank, so that a rank is an index; endpoints
- * in the order of identity, for the search by halves. Contracts keep the order
- * of the text, because the first that fits is the one that serves.
+ * Tiers are sorted by rank, so that a rank is an index; endpoints are sorted by
+ * id for binary search. Contracts keep the order of the text, because the first
+ * one that matches a request applies.
  */
 
 #include "config.h"
@@ -66,7 +66,7 @@
 	       patterns_overlap(path_a, path_b);
 }
 
-/* Paths that the daemon answers itself. */
+/* Paths that the daemon serves itself; no service may claim them. */
 static const char *const reserved_paths[] = { "/v1", "/status", "/metrics",
 					      "/healthz", "/burn" };
 
@@ -83,7 +83,7 @@
 	size_t length = strlen(prefix);
 
 	if (prefix[0] != '/' || length < 2 || prefix[length - 1] == '/')
-		return "must begin with '/' and not end so";
+		return "must begin with '/' and must not end with '/'";
 	for (size_t i = 0; i < COUNT(reserved_paths); i++)
 		if (path_has_prefix(prefix, reserved_paths[i]))
 			return "is a path that the daemon answers itself: "
@@ -127,8 +127,8 @@
 }
 
 /*
- * Every account is compared whole, so that the time taken tells nothing about
- * how much of a guessed key's hash was right or which account it resembles.
+ * Compares the full hash with that of every account, so that the time taken does
+ * not reveal how much of a guessed key's hash matches, nor which account's.
  */
 const config_account_t *
 pimento_config_find_account(const pimento_config_t *config,
@@ -141,7 +141,7 @@
 					    key_hash, 32);
 		uint32_t mask = (uint32_t)differs & 1U;
 
-		/* mask is 0 for an equal hash, else 1 */
+		/* mask is 0 if the hashes are equal, otherwise 1 */
 		found |= (i + 1) & (mask - 1U);
 	}
 	return found ? &config->accounts[found - 1] : NULL;
--- a/src/config_diff.c
+++ b/src/config_diff.c
@@ -1,8 +1,8 @@
 /*
- * Compares two configurations as callers meet them. A kind of request is
- * looked up for each account of either side, so that it does not matter
- * whether a contract was written for one account or for all; callers to whom
- * the same happens are named in one sentence.
+ * Compares two configurations by their effect on callers. Each contract name is
+ * looked up for each account of either configuration, so that it makes no
+ * difference whether a contract is written for one account or for all. Accounts
+ * with the same change are listed in one sentence.
  */
 
 #include "config_diff.h"
@@ -21,10 +21,10 @@
 	int changes;
 } diff_t;
 
-/* One caller and what happens to it. */
+/* Change of the contract with a given name for one account. */
 typedef struct account_change {
 	const char *account;
-	char sentence[SENTENCE_MAX_BYTES]; /* "" nothing, or told already */
+	char sentence[SENTENCE_MAX_BYTES]; /* "" if unchanged or written */
 } account_change_t;
 
 static void format_duration(char *text, size_t size, pimento_usec_t span)
@@ -104,12 +104,12 @@
 	if (a->body_max != b->body_max)
 		add_change(
 			diff,
-			"Every caller: a request may have %u bytes instead of %u.",
+			"Every caller: a request body may have %u bytes instead of %u.",
 			b->body_max, a->body_max);
 	if (a->retention != b->retention)
 		add_change(
 			diff,
-			"Every caller: an idempotency key is known for %lld s "
+			"Every caller: an idempotency key is remembered for %lld s "
 			"instead of %lld s.",
 			(long long)(b->retention / PIMENTO_SEC),
 			(long long)(a->retention / PIMENTO_SEC));
@@ -120,13 +120,13 @@
 	const config_tier_t *old = find_tier(diff->before, tier->name);
 
 	if (!old) {
-		add_change(diff, "Tier \"%s\" is new, at place %u of %u.",
+		add_change(diff, "Tier \"%s\" is new, at position %u of %u.",
 			   tier->name, tier->rank + 1U,
 			   diff->after->tier_count);
 		return;
 	}
 	if (old->rank != tier->rank)
-		add_change(diff, "Tier \"%s\" comes at place %u instead of %u.",
+		add_change(diff, "Tier \"%s\" is at position %u instead of %u.",
 			   tier->name, tier->rank + 1U, old->rank + 1U);
 }
 
@@ -136,7 +136,7 @@
 		diff_tier(diff, &diff->after->tiers[i]);
 	for (uint32_t i = 0; i < diff->before->tier_count; i++)
 		if (!find_tier(diff->after, diff->before->tiers[i].name))
-			add_change(diff, "Tier \"%s\" goes.",
+			add_change(diff, "Tier \"%s\" is removed.",
 				   diff->before->tiers[i].name);
 }
 
@@ -169,11 +169,13 @@
 		diff_account(diff, &diff->after->accounts[i]);
 	for (uint32_t i = 0; i < diff->before->account_count; i++)
 		if (!find_account(diff->after, diff->before->accounts[i].name))
-			add_change(diff, "Caller \"%s\" goes; it is refused.",
-				   diff->before->accounts[i].name);
+			add_change(
+				diff,
+				"Caller \"%s\" is removed; its requests are refused.",
+				diff->before->accounts[i].name);
 }
 
-/* Appends a clause to a sentence, with a comma after the first. */
+/* Appends a clause to a sentence, separated by a comma from a previous one. */
 __attribute__((format(printf, 2, 3))) static void
 append_clause(char *sentence, const char *format, ...)
 {
@@ -218,7 +220,7 @@
 	if (!same_call(a, b)) {
 		format_call(new_text, sizeof(new_text), b);
 		format_call(old_text, sizeof(old_text), a);
-		append_clause(sentence, "goes to %s instead of %s", new_text,
+		append_clause(sentence, "is sent to %s instead of %s", new_text,
 			      old_text);
 	}
 	if (strcmp(tier_a, tier_b) != 0)
@@ -228,7 +230,7 @@
 	if (a->timeout != b->timeout) {
 		format_duration(new_text, sizeof(new_text), b->timeout);
 		format_duration(old_text, sizeof(old_text), a->timeout);
-		append_clause(sentence, "is given up after %s instead of %s",
+		append_clause(sentence, "times out after %s instead of %s",
 			      new_text, old_text);
 	}
 	if (a->repeatable != b->repeatable)
@@ -265,7 +267,10 @@
 			      "may no longer be sent");
 }
 
-/* Says the first unreported change and marks all equal ones as reported. */
+/*
+ * Writes the change of the account at index first, with all accounts that have
+ * the same change, and empties their sentences so that each is written once.
+ */
 static void add_account_changes(diff_t *diff, const char *name,
 				account_change_t *account_changes,
 				uint32_t count, uint32_t first)
@@ -381,7 +386,7 @@
 	}
 	for (uint32_t i = 0; i < a->service_count; i++)
 		if (!find_service(b, a->services[i].name))
-			add_change(diff, "Service \"%s\" goes.",
+			add_change(diff, "Service \"%s\" is removed.",
 				   a->services[i].name);
 }
 
@@ -410,7 +415,8 @@
 			      b->concurrency, a->concurrency);
 	if (a->context_tokens != b->context_tokens)
 		append_clause(sentence,
-			      "reads %u tokens instead of %u (0: any)",
+			      "accepts requests of up to %u tokens instead of "
+			      "%u (0: no limit)",
 			      b->context_tokens, a->context_tokens);
 	if (a->fencing != b->fencing)
 		append_clause(sentence, "%s fencing numbers",
@@ -437,7 +443,7 @@
 			   sentence);
 }
 
-/* Endpoints are kept by identity; people want them by name. */
+/* Orders endpoints by name for the output; configurations sort them by id. */
 static int compare_endpoint_names(const void *left, const void *right)
 {
 	const config_endpoint_t *const *a = left;
@@ -472,7 +478,7 @@
 		if (!pimento_config_find_endpoint(diff->after, before[i]->id))
 			add_change(
 				diff,
-				"Endpoint \"%s\" goes; it gets no new requests.",
+				"Endpoint \"%s\" is removed; it gets no new requests.",
 				before[i]->name);
 	free((void *)before);
 	free((void *)after);
--- a/src/config_parse.c
+++ b/src/config_parse.c
@@ -1,9 +1,9 @@
 /*
- * Parses the configuration. It is read in three passes: every table by its
- * description, then what must be unique, then what refers to something else.
- * Any mistake of any pass discards the whole, so that no daemon ever serves
- * under half of a configuration, and all daemons come to the same result
- * because nothing but the text goes in.
+ * Parses the configuration in three passes: each table is read by its field
+ * descriptions, then values that must be unique are checked, then references
+ * between tables. An error in any pass rejects the whole configuration, so that
+ * no daemon serves under a part of one. The result depends on the text alone, so
+ * all daemons accept or reject the same revisions.
  */
 
 #include "config.h"
@@ -36,7 +36,10 @@
 
 #define DIGEST_DIGITS 16
 
-/* Texts that are taken apart once every table has been read. */
+/*
+ * A [[contract]] or [[endpoint]] as read. The names of targets and tiers are
+ * resolved after all tables have been read.
+ */
 typedef struct raw_contract {
 	config_contract_t contract;
 	char target[PIMENTO_NAME_MAX + 8];
@@ -55,7 +58,7 @@
 	pimento_usec_t retention;
 } raw_toplevel_t;
 
-/* What one parse works on. */
+/* State of one run of the parser. */
 typedef struct parser {
 	fields_source_t source;
 	const toml_node_t *root;
@@ -341,9 +344,9 @@
 }
 
 /*
- * A call that may not be repeated would be served as repeatable if its caller
- * could name another contract that fits it too; it could then run twice. No
- * call may therefore fit two contracts that differ in this.
+ * Rejects contracts that match the same call but differ in repeatable. Otherwise
+ * a caller could select the repeatable one for a call that must not be repeated,
+ * and the call could run twice.
  */
 static void check_repeat_conflicts(const parser_t *parser)
 {
@@ -360,8 +363,8 @@
 			fields_add_problem(
 				&parser->source, parser->root, "contract", i,
 				"repeatable",
-				"contract \"%s\" fits the same calls "
-				"and says otherwise",
+				"contract \"%s\" matches the same calls "
+				"with another value",
 				b->name);
 		}
 	}
@@ -382,7 +385,7 @@
 			fields_add_problem(
 				&parser->source, parser->root, "contract", i,
 				"name",
-				"\"%s\" stands twice for account \"%s\"",
+				"\"%s\" is used twice for account \"%s\"",
 				a->name, a->account);
 			break;
 		}
@@ -399,11 +402,11 @@
 		if (tier->rank >= parser->tier_count)
 			fields_add_problem(&parser->source, parser->root,
 					   "tier", i, "rank",
-					   "ranks count from 0 without gap");
+					   "ranks must be consecutive from 0");
 		else if (tiers[tier->rank].name[0])
 			fields_add_problem(&parser->source, parser->root,
 					   "tier", i, "rank",
-					   "tier \"%s\" has it too",
+					   "tier \"%s\" has the same rank",
 					   tiers[tier->rank].name);
 		else
 			tiers[tier->rank] = *tier;
@@ -483,8 +486,9 @@
 }
 
 /*
- * One process under two names would have two owners, each of which believes
- * that what the other let in is not there; it would get twice its limit.
+ * Rejects endpoints with equal address and port. A process listed under two
+ * names would have two owners that do not count each other's requests, and would
+ * get up to twice its concurrency limit.
  */
 static int check_addresses(const parser_t *parser)
 {
@@ -503,13 +507,14 @@
 			fields_add_problem(
 				&parser->source, parser->root, "endpoint",
 				(uint32_t)(sorted[i] - parser->endpoints),
-				"port", "endpoint \"%s\" is at the same place",
+				"port",
+				"endpoint \"%s\" has the same address and port",
 				sorted[i - 1]->endpoint.name);
 	free((void *)sorted);
 	return PIMENTO_OK;
 }
 
-/* Two accounts with one key could not be told apart. */
+/* Rejects equal key hashes: callers of such accounts cannot be told apart. */
 static void check_key_hashes(const parser_t *parser)
 {
 	const config_account_t *accounts = parser->config->accounts;
@@ -519,16 +524,16 @@
 			if (!sodium_is_zero(accounts[i].key_hash, 32) &&
 			    !memcmp(accounts[i].key_hash, accounts[j].key_hash,
 				    32))
-				fields_add_problem(&parser->source,
-						   parser->root, "account", i,
-						   "key_hash",
-						   "account \"%s\" has it too",
-						   accounts[j].name);
+				fields_add_problem(
+					&parser->source, parser->root,
+					"account", i, "key_hash",
+					"account \"%s\" has the same key hash",
+					accounts[j].name);
 }
 
 /*
- * The digest stands on the first line and covers all that follows that line.
- * It is no signature: it notices a text that was cut short or changed by hand.
+ * Verifies the digest on the first line, which covers all following lines. It
+ * detects a text that was truncated or edited by hand, but is not a signature.
  */
 static void check_digest(parser_t *parser, const char *text, size_t length)
 {
@@ -548,17 +553,17 @@
 	if (toml_line(node) != 1)
 		problems_add(parser->source.problems, parser->source.file,
 			     toml_line(node), "digest",
-			     "must stand on the first line");
+			     "must be on the first line");
 	else if (strcmp(expected, parser->toplevel.digest) != 0)
 		problems_add(parser->source.problems, parser->source.file, 1,
 			     "digest",
-			     "does not fit the text, which gives %s: generate "
-			     "it again instead of changing it by hand",
+			     "does not match the text, whose digest is %s: "
+			     "generate it again instead of editing it",
 			     expected);
 	parser->config->digest = digest;
 }
 
-/* Moves what was read raw into the configuration. */
+/* Copies the resolved contracts and endpoints into the configuration. */
 static int fill_config(parser_t *parser)
 {
 	pimento_config_t *config = parser->config;
--- a/src/edge_settings.c
+++ b/src/edge_settings.c
@@ -12,7 +12,7 @@
 			EDGE_ADDRESS_MAX - 1, NULL        \
 	}
 
-/* Fractions too: the platform states some of its bounds as such. */
+/* A number that may be a fraction: the platform states some bounds as such. */
 #define NUMBER_FIELD(key, member, min)                                     \
 	{                                                                  \
 		key, FIELD_DOUBLE, false, OFFSET(member), min, NUMBER_MAX, \
@@ -20,16 +20,17 @@
 	}
 #define NUMBER_MAX 1000000000
 
-/* Values where the platform states none. */
+/* Defaults of settings that the platform does not state. */
 #define MEMORY_MB_DEFAULT 256
 #define DESCRIPTORS_DEFAULT 1024
 #define STOP_SECONDS_DEFAULT 8
 #define KEY_REVOKE_MS_DEFAULT 5000
 #define WINDOW_S_DEFAULT 10
 /*
- * Repeats for each request, and beside them for all hosts in one window. A
- * fifth is what operators commonly state; it keeps a failing service from
- * getting twice its load. The slack lets a fleet without much traffic repeat.
+ * The retry budget: retries allowed for each request, and further retries of all
+ * hosts in one window. A ratio of one fifth is what operators commonly state; it
+ * keeps retries from doubling the load on a failing service. The slack allows
+ * retries when there is too little traffic for the ratio to give any.
  */
 #define RETRY_RATIO_DEFAULT 0.2
 #define RETRY_SLACK_DEFAULT 50
@@ -105,7 +106,10 @@
 
 	if (*text && fields_parse_address_port(text, address, &port))
 		problems_add(source->problems, source->file, toml_line(node),
-			     key, "%s is not an address and a port", text);
+			     key,
+			     "%s is not an address and port, such as "
+			     "\"10.1.0.2:80\"",
+			     text);
 }
 
 static void read_seeds(const fields_source_t *source, const toml_node_t *root,
@@ -124,7 +128,8 @@
 		    length >= EDGE_ADDRESS_MAX) {
 			problems_add(source->problems, source->file,
 				     toml_line(seeds), "peers.seeds",
-				     "a seed is not an address and a port");
+				     "a seed is not an address and port of at "
+				     "most 31 bytes");
 			return;
 		}
 		seed = settings->seeds[settings->seed_count++];
--- a/src/edge_settings.h
+++ b/src/edge_settings.h
@@ -2,9 +2,10 @@
 #define EDGE_SETTINGS_H
 
 /*
- * The settings of pimentoedge: TOML, checked whole. The platform renders the
- * file from the template deploy/settings.toml.in at each start and at each
- * change; keys that are not known here are refused, since the template is ours.
+ * The settings of pimentoedge, in TOML. The platform renders the file from the
+ * template deploy/settings.toml.in whenever a host starts or a value changes.
+ * Unknown keys are errors: the template belongs to this project, so an unknown
+ * key can only be a mistake.
  *
  *	[host]    name, datacentre, address, first_start
  *	[listen]  callers, health, peers ("address:port"), gossip_port
@@ -13,6 +14,8 @@
  *	[limits]  memory_mb, descriptors, stop_seconds
  *	[bounds]  key_revoke_ms, retry_ratio, retry_slack, retry_window_s,
  *	          quota_window_s
+ *
+ * [peers], [limits] and [bounds] are optional.
  */
 
 #include "config.h"
@@ -24,7 +27,7 @@
 	char name[PIMENTO_NAME_MAX];
 	char datacentre[PIMENTO_NAME_MAX];
 	char address[64];
-	bool first_start; /* the whole system starts for the first time */
+	bool first_start; /* no host of the deployment has run before */
 	char callers[EDGE_ADDRESS_MAX];
 	char health[EDGE_ADDRESS_MAX];
 	char peers[EDGE_ADDRESS_MAX];
@@ -32,17 +35,20 @@
 	char seeds[EDGE_SEEDS_MAX][EDGE_ADDRESS_MAX];
 	uint32_t seed_count;
 	char store[EDGE_ADDRESS_MAX];
-	double memory_mb;
-	double descriptors;
-	double stop_seconds; /* until SIGKILL follows SIGTERM */
-	double key_revoke_ms; /* a revoked key is dead after this */
-	double retry_ratio; /* repeats for each request */
-	double retry_slack; /* repeats of all hosts in a window */
-	double retry_window_s;
-	double quota_window_s;
+	double memory_mb; /* memory limit of the process */
+	double descriptors; /* limit of open file descriptors */
+	double stop_seconds; /* from SIGTERM until SIGKILL */
+	double key_revoke_ms; /* a revoked API key is refused after this */
+	double retry_ratio; /* retries allowed for each request */
+	double retry_slack; /* further retries of all hosts in a window */
+	double retry_window_s; /* window of the retry budget */
+	double quota_window_s; /* window in which quotas are counted */
 } edge_settings_t;
 
-/* Every mistake goes to problems. Returns 0 or PIMENTO_EPARSE. */
+/*
+ * Parses and checks settings; every error is added to problems. Returns 0,
+ * PIMENTO_EPARSE or PIMENTO_ENOMEM.
+ */
 int edge_settings_parse(edge_settings_t *settings, const char *text,
 			size_t length, const char *file, problems_t *problems);
 
--- a/src/explain.c
+++ b/src/explain.c
@@ -5,46 +5,63 @@
 
 #define VALUE_MAX_BYTES 96
 
+/* Values of the field why= in log lines, with their meanings. */
 static const struct {
 	const char *why;
 	const char *meaning;
 } meanings[] = {
-	{ "-", "the answer was passed on whole" },
-	{ "quota", "the account was over its quota over all hosts; the "
-		   "line of part=quota gives rate, burst and level" },
+	{ "-", "the complete answer was passed on" },
+	{ "quota", "the account exceeded its quota, counted over all hosts; "
+		   "the log line with part=quota gives rate, burst and level" },
 	{ "broken", "the connection to the endpoint broke before the answer "
-		    "was whole" },
-	{ "caller_left", "the caller closed its connection first; look at "
-			 "waited_ms and first_ms for what it waited for" },
-	{ "connect_timeout", "the endpoint did not take the connection" },
-	{ "connection_dead", "a kept connection was dead; nothing was sent" },
-	{ "copy_too_old", "this host had not heard from the platform, nor from "
-			  "a peer that had, for longer than a revoked key may "
-			  "live; look at copy_age_ms and part=store" },
-	{ "deadline", "the caller's own deadline passed" },
-	{ "endpoint_failed", "the endpoint ran the request and failed it" },
-	{ "endpoint_full", "the endpoint said that it has no room" },
-	{ "endpoint_left", "the endpoint left while the connection was made" },
-	{ "endpoints_failed", "each endpoint that may be tried has failed it" },
-	{ "endpoints_full", "each endpoint that may be tried has no room" },
-	{ "event_too_big", "one event of the stream was beyond all bounds" },
-	{ "garbled", "the endpoint sent bytes that are no answer" },
+		    "was complete" },
+	{ "caller_left",
+	  "the caller closed its connection before the answer was "
+	  "complete; waited_ms and first_ms show what it was "
+	  "waiting for" },
+	{ "connect_timeout",
+	  "the endpoint did not accept the connection in time" },
+	{ "connection_dead",
+	  "an idle connection was already closed; nothing was sent" },
+	{ "copy_too_old",
+	  "this host's copy of the platform's records was older "
+	  "than a revoked key may stay valid, with no update "
+	  "from the platform or a peer; look at copy_age_ms "
+	  "and at log lines with part=store" },
+	{ "deadline", "the deadline set by the caller passed" },
+	{ "endpoint_failed",
+	  "the endpoint ran the request and reported a failure" },
+	{ "endpoint_full",
+	  "the endpoint refused the request because it is full" },
+	{ "endpoint_left", "the endpoint restarted or stopped accepting work "
+			   "while this host connected to it" },
+	{ "endpoints_failed",
+	  "the request failed at every endpoint that may be tried" },
+	{ "endpoints_full", "every endpoint that may be tried is full" },
+	{ "event_too_big", "an event of the stream exceeded the maximum size" },
+	{ "garbled", "the endpoint sent bytes that are not a valid HTTP "
+		     "response" },
 	{ "memory", "this host ran out of memory" },
-	{ "no_connection", "this host could open no further connection" },
+	{ "no_connection", "this host could not open another connection" },
 	{ "no_id", "the request had no id" },
-	{ "no_place", "no endpoint had a free place in time; look at waiting, "
+	{ "no_place", "no endpoint had a free slot in time; look at waiting, "
 		      "late and the load of the service" },
-	{ "no_route", "no route of the configuration matches; look at config" },
-	{ "no_time", "too little time was left to send it" },
-	{ "other_endpoint", "another process has the endpoint's address now" },
+	{ "no_route", "no route of the configuration matches the request; "
+		      "config gives the revision" },
+	{ "no_time", "too little of the request's time was left to send it" },
+	{ "other_endpoint", "another process now uses the endpoint's address" },
 	{ "route_timeout", "the route's timeout passed" },
-	{ "silent", "the endpoint sent nothing for far longer than the goal" },
+	{ "silent", "the endpoint sent nothing for several times the latency "
+		    "objective" },
 	{ "stopping", "this host is stopping and takes no new requests" },
 	{ "stream_torn", "the stream ended in the middle of an event" },
-	{ "unfit_answer", "the answer was not the endpoint's own, or its "
-			  "promise \"not run\" could not be trusted" },
-	{ "unknown_key", "no account holds the key; look at config" },
-	{ "unreached", "nobody answered at the endpoint's address" },
+	{ "unfit_answer",
+	  "the answer was not from the expected endpoint, or its "
+	  "statement \"not run\" could not be trusted" },
+	{ "unknown_key", "no account has this API key; config gives the "
+			 "revision" },
+	{ "unreached", "nothing accepted a connection at the endpoint's "
+		       "address" },
 };
 
 const char *explain_reason(const char *why)
@@ -67,7 +84,10 @@
 	free(explain->lines);
 }
 
-/* The value of a key in a line, into value; "" if it has none. */
+/*
+ * Copies the value of a key=value pair of a log line to value, truncated to fit;
+ * "" if the line does not have the key.
+ */
 static void get_value(const char *line, const char *key,
 		      char value[VALUE_MAX_BYTES])
 {
@@ -158,7 +178,7 @@
 	get_value(last, "host", host);
 	meaning = explain_reason(why);
 	strbuf_addf(text, "%s at %s: %s (%s)\n", event, host,
-		    meaning ? meaning : "not known to this program", why);
+		    meaning ? meaning : "unknown reason", why);
 }
 
 int explain_write(explain_t *explain, strbuf_t *text)
--- a/src/fields.c
+++ b/src/fields.c
@@ -1,9 +1,9 @@
 /*
- * Reads TOML tables by a description of their keys. Each reader of a kind
- * returns NULL or a sentence that says what is wrong, and stores nothing then;
- * the caller adds file, line and key. Reading goes on after a mistake, so that
- * all of them are reported at once; that is safe because a value which was not
- * stored keeps its default and the whole result is thrown away in the end.
+ * Reads TOML tables by descriptions of their fields. The function that reads a
+ * kind of field returns NULL, or the error as a sentence without storing a value;
+ * file, line and key are added by fields_read(). Reading continues after an
+ * error, so that all errors are reported together. That is safe because a field
+ * that was not stored keeps its default and the result is discarded in the end.
  */
 
 #include "fields.h"
@@ -94,7 +94,7 @@
 	return PIMENTO_OK;
 }
 
-/* Returns a string value without control characters, or NULL. */
+/* Returns the value of a string node without control characters, else NULL. */
 static const char *printable_string(const toml_node_t *node, size_t *length)
 {
 	const char *text;
@@ -139,7 +139,7 @@
 	const char *text = printable_string(node, &length);
 
 	if (!text || length >= 64 || !is_address(text))
-		return "must be an IP number, such as \"127.0.0.1\"";
+		return "must be an IP address, such as \"127.0.0.1\"";
 	memcpy(to, text, length + 1);
 	return NULL;
 }
@@ -221,7 +221,7 @@
 	{ "d", 86400 * PIMENTO_SEC },
 };
 
-/* Returns the duration, or -1 if the text is none. */
+/* Returns the duration in microseconds, or -1 if the text is not a duration. */
 static pimento_usec_t parse_duration(const char *text)
 {
 	char *end;
@@ -238,7 +238,7 @@
 	return -1;
 }
 
-/* min and max are in milliseconds. */
+/* Reads a duration; the field's min and max are in milliseconds. */
 static const char *read_duration(const field_t *field, const toml_node_t *node,
 				 pimento_usec_t *to, char *reason, size_t size)
 {
@@ -247,7 +247,7 @@
 	pimento_usec_t duration = text ? parse_duration(text) : -1;
 
 	if (duration < 0)
-		return "must be a span of time, such as \"500ms\", \"20s\", "
+		return "must be a duration, such as \"500ms\", \"20s\", "
 		       "\"5min\", \"2h\" or \"1d\"";
 	if (duration < field->min * PIMENTO_MSEC ||
 	    duration > field->max * PIMENTO_MSEC) {
@@ -315,11 +315,11 @@
 	case FIELD_TABLE_ARRAY:
 		return is_array_of(node, TOML_TYPE_TABLE)
 			       ? NULL
-			       : "must be a list of tables, written [[...]]";
+			       : "must be an array of tables, written [[...]]";
 	case FIELD_STRING_ARRAY:
 		return is_array_of(node, TOML_TYPE_STRING)
 			       ? NULL
-			       : "must be a list of strings";
+			       : "must be an array of strings";
 	default:
 		return read_integer(field, node, to, reason, size);
 	}
@@ -397,7 +397,7 @@
 			     list->key, "at least %u must be given", list->min);
 	if (length > list->max)
 		problems_add(source->problems, source->file, toml_line(node),
-			     list->key, "%zu given, at most %u taken", length,
+			     list->key, "%zu given, at most %u allowed", length,
 			     list->max);
 	return length <= list->max;
 }
@@ -486,7 +486,7 @@
 		    strcmp(sorted[i].text, sorted[i - 1].text) != 0)
 			continue;
 		fields_add_problem(source, root, list->key, sorted[i].index,
-				   key, "\"%s\" stands twice", sorted[i].text);
+				   key, "\"%s\" is used twice", sorted[i].text);
 	}
 	free(sorted);
 	return PIMENTO_OK;
--- a/src/fields.h
+++ b/src/fields.h
@@ -2,30 +2,31 @@
 #define FIELDS_H
 
 /*
- * Reads TOML tables into structures by a description of their keys. One place
- * reports unknown keys, missing keys, wrong types and ranges, so that the
- * configuration, the settings and the questionnaire are all checked alike.
- * Defaults are what the structure holds before it is read.
+ * Reads TOML tables into structures by descriptions of their fields. Unknown
+ * keys, missing keys, wrong types and values out of range are all detected here,
+ * so that configuration, settings and questionnaire are checked alike. A key
+ * that is missing leaves the value that the structure held before (its default).
  */
 
 #include "config.h"
 #include "toml.h"
 
+/* Kinds of fields, with the C type of the value that is stored. */
 typedef enum field_kind {
 	FIELD_NAME, /* char[PIMENTO_NAME_MAX]: a-z 0-9 . _ - */
 	FIELD_TEXT, /* char[max + 1], at least min bytes, printable */
-	FIELD_ADDRESS, /* char[64]: an IP number */
-	FIELD_HEX32, /* uint8_t[32] from 64 digits */
+	FIELD_ADDRESS, /* char[64]: numeric IP address */
+	FIELD_HEX32, /* uint8_t[32] from 64 hexadecimal digits */
 	FIELD_BOOL, /* bool */
-	FIELD_U8, /* numbers lie in [min, max] */
+	FIELD_U8, /* this and the following numbers lie in [min, max] */
 	FIELD_U16,
 	FIELD_U32,
 	FIELD_DOUBLE, /* double */
-	FIELD_MSEC, /* pimento_usec_t from milliseconds */
-	FIELD_SEC, /* pimento_usec_t from seconds */
+	FIELD_MSEC, /* pimento_usec_t from an integer in milliseconds */
+	FIELD_SEC, /* pimento_usec_t from an integer in seconds */
 	FIELD_DURATION, /* pimento_usec_t from "20s", "5min", "2h", "1d" */
-	FIELD_CHOICE, /* int: index in choices */
-	FIELD_TABLE, /* its type only is checked here */
+	FIELD_CHOICE, /* int: index of the string in choices */
+	FIELD_TABLE, /* type checked, nothing stored; also for arrays */
 	FIELD_TABLE_ARRAY,
 	FIELD_STRING_ARRAY
 } field_kind_t;
@@ -34,51 +35,56 @@
 	const char *key;
 	field_kind_t kind;
 	bool required;
-	size_t offset;
+	size_t offset; /* of the value in the structure, in bytes */
 	int64_t min;
 	int64_t max;
-	const char *const *choices; /* ends with NULL */
+	const char *const *choices; /* terminated by NULL */
 } field_t;
 
-/* Where mistakes go, and what text they are in. */
+/* The file that is read, and where its errors are reported. */
 typedef struct fields_source {
-	const char *file;
+	const char *file; /* file name shown in errors */
 	problems_t *problems;
 } fields_source_t;
 
-/* Reads one table; path names it in problems, "" for the top one. */
+/*
+ * Reads one table into the structure at base. path is the table's name in error
+ * messages, "" for the root table.
+ */
 void fields_read(const fields_source_t *source, const toml_node_t *table,
 		 const char *path, const field_t *fields, size_t count,
 		 void *base);
 
-/* A list of tables of one kind, such as [[endpoint]]. */
+/* Description of an array of tables, such as [[endpoint]]. */
 typedef struct fields_list {
 	const char *key;
 	const field_t *fields;
 	size_t field_count;
-	size_t element_size; /* of an element */
-	const void *defaults; /* an element */
-	uint32_t min;
+	size_t element_size; /* bytes of the structure of one table */
+	const void *defaults; /* initial value of each structure */
+	uint32_t min; /* number of tables */
 	uint32_t max;
 } fields_list_t;
 
 /*
- * Reads a list into allocated elements, which the caller frees. Returns 0 or
- * PIMENTO_ENOMEM; *elements is NULL if there are none.
+ * Reads an array of tables into *elements, which is allocated here and freed by
+ * the caller; NULL if there are no tables or too many. Returns 0, also if errors
+ * were reported, or PIMENTO_ENOMEM.
  */
 int fields_read_list(const fields_source_t *source, const toml_node_t *root,
 		     const fields_list_t *list, void **elements,
 		     uint32_t *count);
 
-/* Reports a mistake at one key of an element of a list. */
+/* Reports an error at a key of the table with this index in an array. */
 void fields_add_problem(const fields_source_t *source, const toml_node_t *root,
 			const char *list, uint32_t index, const char *key,
 			const char *format, ...)
 	__attribute__((format(printf, 6, 7)));
 
 /*
- * Reports each element whose text at offset equals that of an earlier one;
- * empty texts are passed over. Returns 0 or PIMENTO_ENOMEM.
+ * Reports an error for each element whose string at offset equals that of an
+ * earlier element; empty strings are ignored. Returns 0, also if errors were
+ * reported, or PIMENTO_ENOMEM.
  */
 int fields_check_unique(const fields_source_t *source, const toml_node_t *root,
 			const fields_list_t *list, const void *elements,
@@ -88,7 +94,7 @@
 int fields_parse_address_port(const char *text, char address[64],
 			      uint16_t *port);
 
-/* Whether the text is a name as FIELD_NAME wants it. */
+/* Whether the text is a valid name for a FIELD_NAME. */
 bool fields_is_name(const char *text);
 
 /* Turns 64 hexadecimal digits into 32 bytes. Returns 0 or PIMENTO_EPARSE. */
--- a/src/problems.c
+++ b/src/problems.c
@@ -1,8 +1,8 @@
 /*
- * Collects the mistakes of a text as lines. Names and values in them come from
- * a text that anybody may have written, so bytes that would upset a terminal
- * or a log are replaced, and both the length of a line and the number of lines
- * are bounded.
+ * Collects the errors found in a configuration text, one line each. Names and
+ * values in them come from untrusted input, so control characters, which could
+ * disturb a terminal or forge log lines, are replaced, and both the length of a
+ * line and the number of lines are bounded.
  */
 
 #include "config.h"
--- a/src/questionnaire.c
+++ b/src/questionnaire.c
@@ -1,7 +1,7 @@
 /*
- * Parses and checks the answers of the questionnaire. What the configuration's
- * own checks would refuse is found here first, so that the reasons name the
- * questions and not what was derived from them.
+ * Parses and checks the answers to the questionnaire. Whatever the checks of the
+ * configuration would reject is rejected here first, so that errors name the
+ * questions and not the configuration generated from the answers.
  */
 
 #include "questionnaire.h"
@@ -129,14 +129,14 @@
 static const fields_list_t endpoint_list =
 	TABLE_ARRAY(endpoint, 1, ENDPOINTS_MAX);
 
-/* What one parse works on. */
+/* State of one run of the parser. */
 typedef struct parser {
 	fields_source_t source;
 	const toml_node_t *root;
 	questionnaire_t *questionnaire;
 } parser_t;
 
-/* Reports a mistake at one key of an element; evaluates its place once. */
+/* Reports an error at one key of a list's element. */
 #define ADD_PROBLEM(parser, list, index, key, ...)                         \
 	fields_add_problem(&(parser)->source, (parser)->root, list, index, \
 			   key, __VA_ARGS__)
@@ -258,7 +258,7 @@
 			    "no caller is named \"%s\"", name);
 	else if (!request->all_callers && may_send(request, (uint32_t)caller))
 		ADD_PROBLEM(parser, "request", index, "from",
-			    "\"%s\" stands twice", name);
+			    "\"%s\" is listed twice", name);
 	else
 		request->callers[request->caller_count++] = (uint32_t)caller;
 }
@@ -287,7 +287,8 @@
 			add_request_caller(parser, index, name);
 	if (request->all_callers && count > 1)
 		ADD_PROBLEM(parser, "request", index, "from",
-			    "\"*\" stands for every caller and stands alone");
+			    "\"*\" means every caller and must be the only "
+			    "entry");
 	return PIMENTO_OK;
 }
 
@@ -312,7 +313,7 @@
 	if (e->address_port[0] &&
 	    fields_parse_address_port(e->address_port, e->address, &e->port))
 		ADD_PROBLEM(parser, "endpoint", index, "at",
-			    "must be an IP number and a port, such as "
+			    "must be an IP address and a port, such as "
 			    "\"127.0.0.1:7101\"");
 	if (!e->target_spec[0])
 		return;
@@ -327,7 +328,10 @@
 	return !endpoint->context_tokens || endpoint->context_tokens >= tokens;
 }
 
-/* A request must have an endpoint, and for a model one whose context holds that much. */
+/*
+ * Checks that some endpoint serves a request's target; for a model, one whose
+ * context is large enough for the question and the answer.
+ */
 static void check_endpoint_available(const parser_t *parser, uint32_t index)
 {
 	const questionnaire_request_t *r =
@@ -352,7 +356,7 @@
 		ADD_PROBLEM(
 			parser, "request", index, "question",
 			"question and answer take %u tokens, and no endpoint "
-			"of \"%s\" reads so many",
+			"of \"%s\" has a context that large",
 			tokens, r->target_spec);
 	else
 		ADD_PROBLEM(parser, "request", index, "uses",
@@ -375,7 +379,7 @@
 	}
 	if (!r->method[0])
 		ADD_PROBLEM(parser, "request", index, "method",
-			    "is missing, services need it");
+			    "is missing; it is required for services");
 	if (strspn(r->method, "ABCDEFGHIJKLMNOPQRSTUVWXYZ") !=
 	    strlen(r->method))
 		ADD_PROBLEM(parser, "request", index, "method",
@@ -386,7 +390,7 @@
 	if (!r->path[0] && !r->may_repeat)
 		ADD_PROBLEM(
 			parser, "request", index, "path",
-			"is missing, a call that may not be repeated needs it");
+			"is missing; it is required where may_repeat is false");
 }
 
 static void check_request(parser_t *parser, uint32_t index)
@@ -428,7 +432,11 @@
 	       callers_overlap(questionnaire, a, b);
 }
 
-/* As config.c does: one call must not fit two that differ in may_repeat. */
+/*
+ * Rejects requests that match the same call but differ in may_repeat, as
+ * config_parse.c does for contracts: a call that must not be repeated could be
+ * sent as one that may, and run twice.
+ */
 static void check_repeat_conflicts(const parser_t *parser)
 {
 	const questionnaire_t *questionnaire = parser->questionnaire;
@@ -445,8 +453,8 @@
 				continue;
 			ADD_PROBLEM(
 				parser, "request", i, "may_repeat",
-				"request \"%s\" fits the same calls and says "
-				"otherwise",
+				"request \"%s\" matches the same calls with "
+				"another value",
 				b->name);
 		}
 	}
@@ -474,9 +482,10 @@
 			if (memcmp(callers[i].key_hash, zero_hash, 32) != 0 &&
 			    !memcmp(callers[i].key_hash, callers[j].key_hash,
 				    32))
-				ADD_PROBLEM(parser, "caller", i, "key_hash",
-					    "caller \"%s\" has it too",
-					    callers[j].name);
+				ADD_PROBLEM(
+					parser, "caller", i, "key_hash",
+					"caller \"%s\" has the same key hash",
+					callers[j].name);
 }
 
 static void check_contract_count(const parser_t *parser)
@@ -492,7 +501,8 @@
 		problems_add(parser->source.problems, parser->source.file, 0,
 			     "request",
 			     "%u pairs of request and caller, at most %d are "
-			     "taken; write from = [\"*\"] where all may send",
+			     "allowed; write from = [\"*\"] for requests that "
+			     "every caller may send",
 			     count, CONTRACTS_MAX);
 }
 
--- a/src/questionnaire.h
+++ b/src/questionnaire.h
@@ -2,10 +2,10 @@
 #define QUESTIONNAIRE_H
 
 /*
- * The questionnaire's answers: what a team says of its callers, its urgencies
- * and its endpoints, in TOML. Limits and shares are derived from it by
- * questionnaire_generate.c; nothing here tunes the system. questionnaire_template() documents each
- * question.
+ * The questionnaire: a team describes its callers, the urgency of its requests
+ * and its endpoints in TOML, and the configuration with its limits and shares is
+ * generated from these answers. The answers hold no tuning parameters. Each
+ * question is documented in the text of questionnaire_template().
  */
 
 #include "config.h"
@@ -13,7 +13,7 @@
 
 typedef struct questionnaire_tier {
 	char name[PIMENTO_NAME_MAX];
-	pimento_usec_t timeout; /* span for which the caller still cares */
+	pimento_usec_t timeout; /* default timeout of its requests */
 } questionnaire_tier_t;
 
 typedef enum questionnaire_size {
@@ -28,7 +28,10 @@
 	int size; /* questionnaire_size_t */
 } questionnaire_caller_t;
 
-/* How long a question or an answer is, in words that need no counting. */
+/*
+ * Rough length of a question or an answer, named so that a team can state it
+ * without counting tokens.
+ */
 typedef enum questionnaire_length {
 	QUESTIONNAIRE_LINE,
 	QUESTIONNAIRE_PARAGRAPH,
@@ -40,25 +43,25 @@
 
 typedef struct questionnaire_request {
 	char name[PIMENTO_NAME_MAX];
-	char description[200]; /* for people only */
-	char target_spec[PIMENTO_NAME_MAX + 8]; /* "model:planner" */
+	char description[200]; /* not used by the program */
+	char target_spec[PIMENTO_NAME_MAX + 8]; /* such as "model:planner" */
 	config_target_t target;
 	char target_name[PIMENTO_NAME_MAX];
 	char method[8];
 	char path[128];
 	char tier[PIMENTO_NAME_MAX];
-	pimento_usec_t timeout; /* 0: as long as the tier's */
+	pimento_usec_t timeout; /* 0: the tier's timeout applies */
 	bool may_repeat;
 	int prompt_length; /* questionnaire_length_t */
-	int answer_length;
-	bool all_callers; /* from = ["*"] */
+	int answer_length; /* questionnaire_length_t */
+	bool all_callers; /* from = ["*"]: every caller may send it */
 	uint32_t caller_count;
-	uint32_t *callers; /* indices */
+	uint32_t *callers; /* indices into questionnaire_t.callers */
 } questionnaire_request_t;
 
 typedef struct questionnaire_service {
 	char name[PIMENTO_NAME_MAX];
-	char path[64]; /* what its calls' paths begin with */
+	char path[64]; /* path prefix of its calls */
 } questionnaire_service_t;
 
 typedef struct questionnaire_endpoint {
@@ -67,12 +70,12 @@
 	char target_spec[PIMENTO_NAME_MAX + 8];
 	config_target_t target;
 	char target_name[PIMENTO_NAME_MAX];
-	char address_port[80]; /* address and port as written */
+	char address_port[80]; /* address and port as given */
 	char address[64];
 	uint16_t port;
 	bool checks_fencing;
-	uint32_t concurrency;
-	uint32_t context_tokens;
+	uint32_t concurrency; /* maximum of requests in progress */
+	uint32_t context_tokens; /* maximum in a request; 0: no limit */
 } questionnaire_endpoint_t;
 
 typedef struct questionnaire {
@@ -89,21 +92,26 @@
 	questionnaire_endpoint_t *endpoints;
 } questionnaire_t;
 
-/* Parses and checks the answers; returns as pimento_config_parse(). */
+/*
+ * Parses and checks the answers. Returns the same errors as
+ * pimento_config_parse(); the answers then need not be finished.
+ */
 int questionnaire_parse(questionnaire_t *questionnaire, const char *text,
 			size_t length, const char *file, problems_t *problems);
 void questionnaire_finish(questionnaire_t *questionnaire);
 
-/* Tokens that a questionnaire_length_t stands for. */
+/*
+ * Number of tokens assumed for a questionnaire_length_t; 0 for any other value.
+ */
 uint32_t questionnaire_length_tokens(int length);
 
-/* The commented template, itself a file of answers. */
+/* Returns a commented example of answers, which is itself valid. */
 const char *questionnaire_template(void);
 
 /*
- * Writes the configuration that follows from the answers. The same answers
- * give the same bytes, whatever their comments, spaces and order of keys. The
- * text always passes pimento_config_parse(). Returns 0 or PIMENTO_ENOMEM.
+ * Appends the configuration generated from the answers. Equal answers give equal
+ * bytes, whatever their comments, white space and order of keys. The text is
+ * always accepted by pimento_config_parse(). Returns 0 or PIMENTO_ENOMEM.
  */
 int questionnaire_generate(const questionnaire_t *questionnaire,
 			   strbuf_t *text);
--- a/src/questionnaire_generate.c
+++ b/src/questionnaire_generate.c
@@ -1,13 +1,13 @@
 /*
- * Derives the configuration from the answers. Only what was parsed goes in,
- * and lists without an order of their own are sorted by name, so the same
- * answers give the same bytes. Kinds of requests keep their order: a caller
- * that names none is served under the first that fits.
+ * Generates the configuration from the answers to the questionnaire. The output
+ * depends on the parsed answers alone, and lists whose order has no meaning are
+ * sorted by name, so equal answers give equal bytes. Requests keep their order,
+ * because a call that selects no contract is served under the first match.
  *
- * What is derived: ranks from the order of tiers; a caller's share from its
- * size; the expected answer from its length; the limit of a body from the
- * longest question; how long idempotency keys are known from the longest time
- * for which a caller of an operation that may not be repeated still cares.
+ * Derived values: ranks from the order of tiers; the weight of an account from
+ * the size of the caller; the tokens of an answer from its stated length; the
+ * maximum body size from the longest question; the retention of idempotency keys
+ * from the longest timeout of a request that may not be repeated.
  */
 
 #include "questionnaire.h"
@@ -17,16 +17,17 @@
 #include <string.h>
 
 #define BYTES_PER_TOKEN 8
-#define BODY_SIZE_MARGIN 4 /* lengths are rough */
+#define BODY_SIZE_MARGIN 4 /* stated lengths are only rough */
 #define BODY_MIN_BYTES 65536
 
 #define RETENTION_MIN (600 * PIMENTO_SEC)
 #define RETENTION_MAX (86400 * PIMENTO_SEC)
-#define RETENTION_PER_TIMEOUT 2 /* a caller may come back as late again */
+/* A caller may retry a timed-out request until its timeout has passed again. */
+#define RETENTION_PER_TIMEOUT 2
 
 #define HEX32_TEXT_SIZE 65
 
-/* A caller one size larger gets four times the share. */
+/* Weight of a caller's account: four times as much for each larger size. */
 static uint32_t size_weight(int size)
 {
 	static const uint32_t weights[] = { 1, 4, 16 };
@@ -104,7 +105,10 @@
 	return strcmp((*a)->name, (*b)->name);
 }
 
-/* Returns pointers to the elements in the order wanted; NULL if no memory. */
+/*
+ * Returns an array of pointers to the elements, sorted by compare; the caller
+ * frees it. NULL if out of memory.
+ */
 static const void **sort_pointers(const void *elements, uint32_t count,
 				  size_t size,
 				  int (*compare)(const void *, const void *))
@@ -163,7 +167,10 @@
 	return PIMENTO_OK;
 }
 
-/* Writes a quoted string; only the quote and the backslash need a mark. */
+/*
+ * Writes a key with a string value. Quotes and backslashes are escaped; control
+ * characters cannot occur, as the parser of the answers rejects them.
+ */
 static void add_quoted(strbuf_t *text, const char *key, const char *value)
 {
 	strbuf_addf(text, "%s = \"", key);
--- a/src/settings.c
+++ b/src/settings.c
@@ -1,6 +1,6 @@
 /*
- * Parses a daemon's settings. A seed is kept only if it is an address and a
- * port; everything else is described by tables of keys.
+ * Parses the settings of pimentod. All keys are read by tables of field
+ * descriptions, except for peers.seeds, whose addresses are parsed here.
  */
 
 #include "settings.h"
@@ -87,7 +87,7 @@
 
 	if (toml_count(seeds) > SETTINGS_SEEDS_MAX) {
 		problems_add(source->problems, source->file, toml_line(seeds),
-			     "peers.seeds", "at most %d are taken",
+			     "peers.seeds", "at most %d seeds are allowed",
 			     SETTINGS_SEEDS_MAX);
 		return;
 	}
--- a/src/settings.h
+++ b/src/settings.h
@@ -2,22 +2,26 @@
 #define SETTINGS_H
 
 /*
- * A daemon's own settings: TOML, checked whole. What the deployment does comes
- * from the platform's configuration, never from here.
+ * The local settings of one pimentod, in TOML: its addresses, its secret and its
+ * limits. Every key is checked. What the deployment serves is not set here; it
+ * comes from the configuration that the platform publishes.
  *
  *	deployment = "qurum"
- *	[host]      name, datacentre, address (IP number), http_port, peer_port
+ *	[host]      name, datacentre, address (IP address), http_port, peer_port
  *	[platform]  address, port
  *	[peers]     seeds = ["127.0.0.1:9081", ...]
  *	[keys]      secret = 64 hexadecimal digits
  *	[log]       level = "error" | "warning" | "info" | "debug"
  *	[limits]    connections, stop_seconds
+ *
+ * [peers], [log] and [limits] are optional.
  */
 
 #include "config.h"
 
 #define SETTINGS_SEEDS_MAX 16
 
+/* A peer that is contacted first, to learn of the other hosts. */
 typedef struct settings_seed {
 	char address[64];
 	uint16_t port;
@@ -34,13 +38,16 @@
 	uint16_t platform_port;
 	uint32_t seed_count;
 	settings_seed_t seeds[SETTINGS_SEEDS_MAX];
-	uint8_t secret[32];
-	int log_level; /* syslog's numbers: 3 error, 4 warning, 6 info, 7 debug */
-	uint32_t connections; /* callers served at once, default 1024 */
-	uint32_t stop_seconds; /* longest graceful stop, default 900 */
+	uint8_t secret[32]; /* authenticates issued idempotency keys */
+	int log_level; /* as for syslog: 3 error, 4 warning, 6 info, 7 debug */
+	uint32_t connections; /* of callers; maximum, default 1024 */
+	uint32_t stop_seconds; /* maximum of a graceful shutdown, default 900 */
 } settings_t;
 
-/* As pimento_config_parse(); every mistake goes to problems. */
+/*
+ * Parses and checks settings; every error is added to problems. Returns the same
+ * errors as pimento_config_parse().
+ */
 int settings_parse(settings_t *settings, const char *text, size_t length,
 		   const char *file, problems_t *problems);
 
--- a/src/strbuf.c
+++ b/src/strbuf.c
@@ -1,6 +1,6 @@
 /*
- * A strbuf that doubles its memory when it is full, so that appending n bytes
- * copies less than 2n.
+ * The buffer doubles its capacity when it is full, so that appending n bytes one
+ * at a time copies fewer than 2n bytes in all.
  */
 
 #include "strbuf.h"
--- a/src/strbuf.h
+++ b/src/strbuf.h
@@ -2,33 +2,40 @@
 #define STRBUF_H
 
 /*
- * A strbuf that grows. A failed allocation is remembered and reported once, at
- * the end, so that what writes a long strbuf need not check every line of it.
+ * A string buffer that grows as text is appended. A failed allocation is recorded
+ * in the buffer, and later calls do nothing, so that a caller can append many
+ * times and check once at the end by strbuf_error().
  */
 
 #include "../pimentoshelf.h"
 
 typedef struct strbuf {
-	char *bytes; /* NUL-terminated; NULL while empty */
-	size_t length;
+	char *bytes; /* NUL-terminated; NULL until something is appended */
+	size_t length; /* without the terminating NUL */
 	size_t capacity;
-	bool out_of_memory;
+	bool out_of_memory; /* an allocation failed */
 } strbuf_t;
 
 void strbuf_init(strbuf_t *strbuf);
 void strbuf_finish(strbuf_t *strbuf);
 
-/* Appends as printf() does; does nothing after a failure. */
+/* Appends formatted text as printf() does. */
 void strbuf_addf(strbuf_t *strbuf, const char *format, ...)
 	__attribute__((format(printf, 2, 3)));
 
-/* Appends bytes as they are; what follows a NUL is seen by length only. */
+/*
+ * Appends bytes unchanged. They may include NUL: the length counts what follows,
+ * but strbuf_str() as a C string ends there.
+ */
 void strbuf_add(strbuf_t *strbuf, const char *bytes, size_t length);
 
-/* Returns the strbuf, "" while it is empty; never NULL. */
+/*
+ * Returns the text, "" if nothing was appended; never NULL. Valid until the next
+ * append.
+ */
 const char *strbuf_str(const strbuf_t *strbuf);
 
-/* Returns 0, or PIMENTO_ENOMEM if any addition failed. */
+/* Returns 0, or PIMENTO_ENOMEM if an allocation of any append failed. */
 int strbuf_error(const strbuf_t *strbuf);
 
 #endif
--- a/src/toml.cc
+++ b/src/toml.cc
@@ -1,19 +1,20 @@
 /*
- * The only C++ of the program: wraps toml++ behind toml.h.
+ * C wrapper of the toml++ library; the only C++ code of the program.
  *
- * The library builds and frees nested tables recursively. It bounds nested
- * values itself (TOML_MAX_NESTED_VALUES), but a dotted key makes one table per
- * dot without any bound, so a line of 500,000 dots would overflow the stack
- * when the tables are freed. Keys cannot span lines; a bound on the dots of a
- * line therefore bounds the depth.
+ * The library builds and frees nested tables recursively. It limits nested
+ * values itself (TOML_MAX_NESTED_VALUES), but a dotted key creates one table per
+ * dot without a limit, so a line of 500,000 dots would overflow the stack when
+ * the tables are freed. Keys cannot span lines; a limit on the dots of a line
+ * therefore limits the depth.
  *
- * The library states by assertions what it takes for granted about the text,
- * and some malformed texts break them. An assertion would end the process, so
- * here it throws, and the text is refused like any other.
+ * The library checks its assumptions about the text by assertions, and some
+ * malformed texts violate them. A failed assertion would abort the process, so
+ * TOML_ASSERT is redefined to throw, and the text is rejected as malformed.
  *
- * Asked whether a character from U+00A1 to U+0499 is white space, the library
- * runs into what it marks as unreachable, so a letter with an accent outside
- * strings and comments has no defined effect. The answer is no.
+ * The library's test for white space reaches code marked as unreachable for
+ * characters from U+00A1 to U+0499, so that an accented letter outside strings
+ * and comments causes undefined behaviour. TOML_UNREACHABLE is redefined to
+ * return false there: such characters are not white space.
  */
 
 #undef NDEBUG
@@ -25,10 +26,10 @@
 	throw std::logic_error("malformed text");
 }
 
-#define TOML_ASSERT(condition)                                                 \
-	do {                                                                   \
-		if (!(condition))                                              \
-			assertion_failed();                                    \
+#define TOML_ASSERT(condition)              \
+	do {                                \
+		if (!(condition))           \
+			assertion_failed(); \
 	} while (0)
 #define TOML_HEADER_ONLY 1
 #define TOML_ENABLE_FORMATTERS 0
--- a/src/toml.h
+++ b/src/toml.h
@@ -2,10 +2,10 @@
 #define TOML_H
 
 /*
- * A C face of the TOML parser, which is a C++ library. Text goes in as a
- * string, nodes come out as read-only pointers that live as long as their
- * document. No exception crosses this face. Nesting is bounded, because the
- * library descends recursively and a hostile text could exhaust the stack.
+ * C interface to a TOML parser that is a C++ library. Nodes are read-only
+ * pointers, valid as long as their document; no exception crosses the interface.
+ * The depth of nesting is limited, because the library is recursive and hostile
+ * input could exhaust the stack.
  */
 
 #include <stdbool.h>
@@ -31,37 +31,40 @@
 
 typedef struct toml_document {
 	toml_node_t *root;
-	int error_line; /* 0 if not known */
-	char error[160]; /* why the text was refused */
+	int error_line; /* line of the syntax error; 0 if unknown */
+	char error[160]; /* why the text was rejected */
 } toml_document_t;
 
 /*
- * Parses a text, which need not be NUL-terminated. Returns 0; PIMENTO_EPARSE
- * with the reason in the document; PIMENTO_ENOMEM. After a failure there is
- * nothing to finish.
+ * Parses a TOML text, which need not be NUL-terminated. Returns 0; PIMENTO_EPARSE
+ * with the reason in document->error; or PIMENTO_ENOMEM. After an error the
+ * document need not be finished.
  */
 int toml_parse(toml_document_t *document, const char *text, size_t length);
 void toml_finish(toml_document_t *document);
 
-/* Type, and line in the text (0 if unknown); node may be NULL. */
+/* Type of a node, and its line in the text (0 if unknown); node may be NULL. */
 toml_type_t toml_type(const toml_node_t *node);
 int toml_line(const toml_node_t *node);
 
-/* Values; each returns false if the node is of another type or NULL. */
+/*
+ * Read the value of a node; each returns false if the node is NULL or of another
+ * type. A string is owned by its document.
+ */
 bool toml_string(const toml_node_t *node, const char **text, size_t *length);
 bool toml_integer(const toml_node_t *node, int64_t *value);
 bool toml_boolean(const toml_node_t *node, bool *value);
-/* A whole number or a fraction. */
+/* Reads an integer or a floating-point number. */
 bool toml_number(const toml_node_t *node, double *value);
 
-/* Elements of an array; 0 and NULL for other types. */
+/* Number of elements of an array, and one element; 0 and NULL for other types. */
 size_t toml_count(const toml_node_t *array);
 const toml_node_t *toml_at(const toml_node_t *array, size_t index);
 
-/* The value of a table's key; NULL if there is none. */
+/* The value of a key in a table; NULL if the table does not have the key. */
 const toml_node_t *toml_get(const toml_node_t *table, const char *key);
 
-/* Calls visit for each key of a table, in the order of the keys' bytes. */
+/* Calls visit for each key of a table, sorted by the bytes of the keys. */
 typedef void toml_visit_t(void *context, const char *key,
 			  const toml_node_t *value);
 void toml_foreach(const toml_node_t *table, toml_visit_t *visit, void *context);
--- a/test/fuzz_config.c
+++ b/test/fuzz_config.c
@@ -1,6 +1,7 @@
 /*
- * The published texts and the settings. A text is either taken whole or
- * refused with a reason; the first byte picks the parser.
+ * Fuzzes the parsers of the configuration, the host list and the settings of
+ * pimentod. The first byte selects the parser. A text must be accepted, or
+ * rejected with at least one error reported.
  */
 
 #include "config.h"
--- a/test/test_burn.c
+++ b/test/test_burn.c
@@ -1,5 +1,6 @@
 /*
- * Service-level burn: windows over time, rates, judgement, the merge of hosts.
+ * Error budget burn: counts of time windows, burn rates, the state of a tier, and
+ * the merging of the reports of several hosts.
  */
 
 #include "burn_json.h"
@@ -11,10 +12,10 @@
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
 static const struct {
-	int64_t added_s; /* ten requests, one of them bad */
+	int64_t added_s; /* time of ten requests, one of them bad */
 	int64_t now_s;
-	uint32_t seconds;
-	uint64_t total;
+	uint32_t seconds; /* length of the window */
+	uint64_t total; /* requests expected in the window */
 } windows[] = {
 	{ 0, 0, 300, 10 },	   { 1000, 1005, 300, 10 },
 	{ 1000, 1280, 300, 10 },   { 1000, 1310, 300, 0 },
@@ -64,8 +65,8 @@
 END_TEST
 
 static const struct {
-	uint64_t bad[BURN_WINDOWS]; /* of so many in each window */
-	uint64_t total;
+	uint64_t bad[BURN_WINDOWS]; /* bad requests in each window */
+	uint64_t total; /* all requests in each window */
 	double objective;
 	burn_state_t state;
 } state_cases[] = {
@@ -128,7 +129,10 @@
 }
 END_TEST
 
-/* Two hosts whose clocks differ by days; ages must still fall together. */
+/*
+ * Reports of two hosts whose clocks differ by days. Merged by time instead of by
+ * age, the counts of one host would be lost or shown at the wrong time.
+ */
 START_TEST(reports_merge_by_age_despite_clock_skew)
 {
 	const pimento_usec_t now[] = { 1000 * PIMENTO_SEC,
--- a/test/test_config.c
+++ b/test/test_config.c
@@ -1,6 +1,6 @@
 /*
- * The configuration: what is accepted, what is refused and with which words,
- * hostile texts, and the look-ups.
+ * The configuration: which texts are accepted, which are rejected and with which
+ * error, hostile input, and lookups.
  */
 
 #include "config.h"
@@ -89,8 +89,8 @@
 
 static const struct {
 	const char *text;
-	const char *line; /* one of the lines reported */
-	uint32_t count; /* lines reported in all */
+	const char *line; /* part of one of the errors reported */
+	uint32_t count; /* number of errors reported */
 } rejected[] = {
 	{ "", "c.toml: deployment: is missing", 5 },
 	{ "deployment = ", "c.toml:1: syntax: ", 1 },
@@ -98,7 +98,7 @@
 	  1 },
 	{ "colour = 1\n" COMPLETE, "c.toml:1: colour: unknown key", 1 },
 	{ "tier = 3\n" TOPLEVEL ACCOUNTS SERVICES ENDPOINTS,
-	  "c.toml:1: tier: must be a list of tables", 2 },
+	  "c.toml:1: tier: must be an array of tables", 2 },
 	{ "body_max = 1\n" COMPLETE, "c.toml:1: body_max: must lie between",
 	  1 },
 	{ "retention_s = \"x\"\n" COMPLETE,
@@ -114,7 +114,8 @@
 	{ COMPLETE CONTRACT("target = \"service:orders\"\nmethod = \"post\"\n"),
 	  "contract[3].method: must be upper case", 1 },
 	{ COMPLETE CONTRACT("target = \"service:orders\"\n"),
-	  "contract[3].repeatable: contract \"charge\" fits the same calls",
+	  "contract[3].repeatable: contract \"charge\" matches the same "
+	  "calls",
 	  1 },
 	{ COMPLETE "[[contract]]\nname = \"plan\"\naccount = \"*\"\n"
 		   "target = \"model:planner\"\ntier = \"mid\"\n",
@@ -123,33 +124,34 @@
 		   "target = \"model:planner\"\ntier = \"low\"\n",
 	  "contract[3].account: no account is named \"c\"", 1 },
 	{ COMPLETE "[[tier]]\nname = \"low\"\nrank = 1\npatience_ms = 100\n",
-	  "tier[3].name: \"low\" stands twice", 2 },
+	  "tier[3].name: \"low\" is used twice", 2 },
 	{ COMPLETE "[[tier]]\nname = \"x\"\nrank = 3\npatience_ms = 100\n",
-	  "tier[3].rank: ranks count from 0 without gap", 1 },
+	  "tier[3].rank: ranks must be consecutive from 0", 1 },
 	{ COMPLETE "[[account]]\nname = \"c\"\nkey_hash = \"" HASH_A "\"\n",
-	  "account[3].key_hash: account \"a\" has it too", 1 },
+	  "account[3].key_hash: account \"a\" has the same key hash", 1 },
 	{ COMPLETE "[[account]]\nname = \"C\"\nkey_hash = \"12\"\nweight = 0\n",
 	  "account[3].weight: must lie between 1 and 1000", 3 },
 	{ COMPLETE "[[service]]\nname = \"s\"\nprefix = \"/v1/x\"\n",
 	  "service[2].prefix: is a path that the daemon answers itself", 1 },
 	{ COMPLETE "[[service]]\nname = \"s\"\nprefix = \"/orders\"\n",
-	  "service[2].prefix: \"/orders\" stands twice", 1 },
+	  "service[2].prefix: \"/orders\" is used twice", 1 },
 	{ COMPLETE "[[service]]\nname = \"s\"\nprefix = \"s/\"\n",
 	  "service[2].prefix: must begin with '/'", 1 },
 	{ COMPLETE
 	  "[[endpoint]]\nname = \"e1\"\ndatacentre = \"m\"\n"
 	  "target = \"service:no\"\naddress = \"localhost\"\nport = 0\n"
 	  "concurrency = true\n",
-	  "endpoint[3].address: must be an IP number", 5 },
+	  "endpoint[3].address: must be an IP address", 5 },
 	{ COMPLETE "[[endpoint]]\nname = \"e9\"\ndatacentre = \"m\"\n"
 		   "target = \"model:planner\"\naddress = \"127.0.0.1\"\n"
 		   "port = 7101\nconcurrency = 1\n",
-	  "endpoint[3].port: endpoint \"e1\" is at the same place", 1 },
+	  "endpoint[3].port: endpoint \"e1\" has the same address and port",
+	  1 },
 	{ "digest = \"0123456789abcdef\"\n" COMPLETE,
-	  "c.toml:1: digest: does not fit the text", 1 },
+	  "c.toml:1: digest: does not match the text", 1 },
 	{ TOPLEVEL "digest = \"0123456789abcdef\"\n" TIERS ACCOUNTS CONTRACTS
 		  SERVICES ENDPOINTS,
-	  "c.toml:2: digest: must stand on the first line", 1 },
+	  "c.toml:2: digest: must be on the first line", 1 },
 };
 
 START_TEST(every_error_is_reported_and_config_discarded)
@@ -159,9 +161,11 @@
 	memset(&empty, 0, sizeof(empty));
 	ck_assert_int_eq(parse(rejected[_i].text), PIMENTO_EPARSE);
 	ck_assert_msg(strstr(problems.text, rejected[_i].line) != NULL,
-		      "wanted %s in:\n%s", rejected[_i].line, problems.text);
-	ck_assert_msg(problems.count == rejected[_i].count, "%u, not %u:\n%s",
-		      problems.count, rejected[_i].count, problems.text);
+		      "no error \"%s\" in:\n%s", rejected[_i].line,
+		      problems.text);
+	ck_assert_msg(problems.count == rejected[_i].count,
+		      "%u errors, expected %u:\n%s", problems.count,
+		      rejected[_i].count, problems.text);
 	ck_assert_mem_eq(&config, &empty, sizeof(empty));
 	finish();
 }
@@ -184,7 +188,7 @@
 END_TEST
 
 static const struct {
-	const char *unit; /* repeated up to a megabyte */
+	const char *unit; /* repeated to fill a text of CONFIG_MAX_BYTES */
 	int error;
 } malformed[] = {
 	{ "a.", PIMENTO_EPARSE },
@@ -203,10 +207,9 @@
 };
 
 /*
- * The platform, or whoever answers in its place, sends a megabyte that is no
- * configuration. A parser without bounds would overflow the stack and the
- * daemon would be gone; the user would notice that every entry host dies at
- * the same moment.
+ * The platform, or a process at its address, sends up to a megabyte of malformed
+ * or deeply nested text. A parser without a limit on nesting would overflow the
+ * stack, and all entry hosts would crash at the same time.
  */
 START_TEST(nested_or_oversized_text_is_rejected)
 {
--- a/test/test_edge_settings.c
+++ b/test/test_edge_settings.c
@@ -1,4 +1,4 @@
-/* The settings of pimentoedge, checked whole. */
+/* Parsing of the settings of pimentoedge: errors and defaults. */
 
 #include "edge_settings.h"
 
@@ -15,7 +15,7 @@
 
 static const struct {
 	const char *text;
-	const char *problem; /* NULL: it is good */
+	const char *problem; /* part of the error; NULL if accepted */
 } cases[] = {
 	{ HOST LISTEN STORE, NULL },
 	{ HOST LISTEN STORE "[peers]\nseeds = [\"10.1.0.2:82\"]\n", NULL },
@@ -60,9 +60,9 @@
 END_TEST
 
 /*
- * Settings of a host that state no bound on repeats. Without a default the bound
- * would be zero: a stream whose endpoint crashes would end there for its caller,
- * though the route lets it go on at another endpoint.
+ * Settings without a retry budget. If the defaults were zero, a stream whose
+ * endpoint crashes would end for its caller, although the route allows it to
+ * continue at another endpoint.
  */
 START_TEST(retry_budget_defaults_are_not_zero)
 {
--- a/test/test_explain.c
+++ b/test/test_explain.c
@@ -1,4 +1,4 @@
-/* One request's story out of logs of several hosts that are mixed. */
+/* Tracing one request in the interleaved logs of several hosts. */
 
 #include "explain.h"
 
--- a/test/test_questionnaire.c
+++ b/test/test_questionnaire.c
@@ -1,7 +1,7 @@
 /*
- * The questionnaire: its template and the examples are acceptable, mistakes
- * are reported with key and reason, the same answers give the same bytes, and
- * the difference of two is told in plain words.
+ * The questionnaire: its template and the examples are valid, errors are reported
+ * with key and reason, equal answers give equal configurations, and the changes
+ * between two configurations are described in sentences.
  */
 
 #include "questionnaire.h"
@@ -16,7 +16,10 @@
 
 static problems_t problems;
 
-/* Returns the template with one piece replaced, or more appended. */
+/*
+ * Returns a copy of the template in which to replaces from; if from is NULL, to
+ * is appended.
+ */
 static char *edit_template(const char *from, const char *to)
 {
 	const char *template = questionnaire_template();
@@ -97,16 +100,16 @@
 END_TEST
 
 static const struct {
-	const char *from; /* NULL: append */
+	const char *from; /* as for edit_template() */
 	const char *to;
-	const char *line;
-	uint32_t count;
+	const char *line; /* part of one of the errors reported */
+	uint32_t count; /* number of errors reported */
 } rejected[] = {
 	{ "[[tier]]", "[[teir]]", "teir: unknown key", 2 },
-	{ "\"10s\"", "\"10 parsecs\"", "tier[1].until: must be a span", 1 },
+	{ "\"10s\"", "\"10 parsecs\"", "tier[1].until: must be a duration", 1 },
 	{ "\"10s\"", "\"9d\"", "tier[1].until: must lie between", 1 },
 	{ "name = \"later\"", "name = \"now\"",
-	  "tier[2].name: \"now\" stands twice", 2 },
+	  "tier[2].name: \"now\" is used twice", 2 },
 	{ "size = \"small\"", "size = \"tiny\"",
 	  "caller[1].size: must be one of \"small\", \"medium\", \"large\"",
 	  1 },
@@ -115,14 +118,14 @@
 	{ "from = [\"shop\"]", "from = []",
 	  "request[1].from: must not be empty", 1 },
 	{ "from = [\"shop\"]", "from = [\"*\", \"shop\"]",
-	  "request[1].from: \"*\" stands for every caller", 1 },
+	  "request[1].from: \"*\" means every caller", 1 },
 	{ "may_repeat = false\n", "", "request[1].may_repeat: is missing", 1 },
 	{ "method = \"POST\"\n", "", "request[1].method: is missing", 1 },
 	{ "path = \"/charge\"\n", "",
-	  "request[1].path: is missing, a call that may not be repeated", 1 },
+	  "request[1].path: is missing; it is required where may_repeat", 1 },
 	{ "answer = \"page\"", "answer = \"thesis\"",
 	  "request[2].question: question and answer take 66000 tokens, and no "
-	  "endpoint of \"model:writer\" reads so many",
+	  "endpoint of \"model:writer\" has a context that large",
 	  1 },
 	{ "uses = \"model:writer\"", "uses = \"writer\"",
 	  "request[2].uses: must be \"model:NAME\" or", 1 },
@@ -133,14 +136,16 @@
 	{ "127.0.0.1:7201", "localhost:7201", "endpoint[2].at: must be an IP",
 	  1 },
 	{ "127.0.0.1:7201", "127.0.0.1:7101",
-	  "endpoint[2].at: \"127.0.0.1:7101\" stands twice", 1 },
+	  "endpoint[2].at: \"127.0.0.1:7101\" is used twice", 1 },
 	{ "path = \"/orders\"", "path = \"/status\"",
 	  "service[1].path: is a path that the daemon answers itself", 1 },
 	{ NULL,
 	  "[[request]]\nname = \"any\"\nwhat = \"x\"\nfrom = [\"*\"]\n"
 	  "uses = \"service:orders\"\nmethod = \"POST\"\ntier = \"now\"\n"
 	  "may_repeat = true\nquestion = \"line\"\nanswer = \"line\"\n",
-	  "request[3].may_repeat: request \"charge\" fits the same calls", 1 },
+	  "request[3].may_repeat: request \"charge\" matches the same "
+	  "calls",
+	  1 },
 };
 
 START_TEST(errors_are_reported_with_key_and_reason)
@@ -150,15 +155,16 @@
 
 	ck_assert_int_eq(generate(text, &generated), PIMENTO_EPARSE);
 	ck_assert_msg(strstr(problems.text, rejected[_i].line) != NULL,
-		      "wanted %s in:\n%s", rejected[_i].line, problems.text);
-	ck_assert_msg(problems.count == rejected[_i].count, "%u:\n%s",
+		      "no error \"%s\" in:\n%s", rejected[_i].line,
+		      problems.text);
+	ck_assert_msg(problems.count == rejected[_i].count, "%u errors:\n%s",
 		      problems.count, problems.text);
 	problems_finish(&problems);
 	free(text);
 }
 END_TEST
 
-/* Drops comments and empty lines, and swaps two keys. */
+/* Returns the template without comments and empty lines, with two keys swapped. */
 static char *reformat_template(void)
 {
 	char *text = edit_template("name = \"now\"\nuntil = \"10s\"",
@@ -200,7 +206,7 @@
 } diff_cases[] = {
 	{ "# Names", "# Names", "" },
 	{ "\"10s\"", "\"12s\"",
-	  "Request \"charge\" is given up after 12 s instead of 10 s, for "
+	  "Request \"charge\" times out after 12 s instead of 10 s, for "
 	  "every caller.\n" },
 	{ "tier = \"later\"", "tier = \"now\"",
 	  "Request \"summary\" is served in tier \"now\" instead of \"later\", "
--- a/test/test_settings.c
+++ b/test/test_settings.c
@@ -1,5 +1,5 @@
 /*
- * A daemon's settings and the platform's host list.
+ * Parsing of the settings of pimentod and of the platform's host list.
  */
 
 #include "settings.h"
@@ -79,8 +79,9 @@
 {
 	ck_assert_int_eq(parse(rejected[_i].text), PIMENTO_EPARSE);
 	ck_assert_msg(strstr(problems.text, rejected[_i].line) != NULL,
-		      "wanted %s in:\n%s", rejected[_i].line, problems.text);
-	ck_assert_msg(problems.count == rejected[_i].count, "%u:\n%s",
+		      "no error \"%s\" in:\n%s", rejected[_i].line,
+		      problems.text);
+	ck_assert_msg(problems.count == rejected[_i].count, "%u errors:\n%s",
 		      problems.count, problems.text);
 	problems_finish(&problems);
 }
@@ -119,10 +120,10 @@
 }
 
 /*
- * Somebody edits the settings and leaves half a line behind. A parser that
- * trips over it ends the daemon without a word of what is wrong; the user sees
- * a host that does not start. Under the sanitizers this found characters that
- * the library did not expect.
+ * Random sequences of TOML tokens, as a careless edit of the settings may leave
+ * them. Guards against a parser that crashes on them, so that the daemon does not
+ * start and reports no reason. Under sanitizers the TOML library showed undefined
+ * behaviour for some non-ASCII characters.
  */
 START_TEST(random_tokens_are_rejected_with_reason)
 {
@@ -150,7 +151,7 @@
 static const struct {
 	const char *text;
 	int error;
-	uint32_t count; /* hosts, or problems */
+	uint32_t count; /* hosts parsed; errors if the list is rejected */
 } lists[] = {
 	{ "{\"revision\":7,\"hosts\":[]}", 0, 0 },
 	{ "{\"revision\":7,\"hosts\":[" ENTRY "]}", 0, 1 },
