--- a/daemon/pimentoedge.c
+++ b/daemon/pimentoedge.c
@@ -239,7 +239,7 @@
 static void watch_ability(edge_t *edge, pimento_usec_t now)
 {
 	const replica_t *configuration =
-		&edge->feed.mirrors[REPLICA_CONFIGURATION];
+		&edge->feed.replicas[REPLICA_CONFIGURATION];
 	bool able = is_ready(edge);
 
 	if (able == edge->able)
@@ -247,7 +247,7 @@
 	edge->able = able;
 	trail(TRAIL_STATE, "edge", able ? "ready" : "not_ready",
 	      "config=%llu copy_age_ms=%lld endpoints=%u stopping=%d",
-	      (unsigned long long)edge->feed.version,
+	      (unsigned long long)edge->feed.config_version,
 	      (long long)(replica_age(configuration, now) / PIMENTO_MSEC),
 	      edge->registry.count, edge->stopping != 0);
 }
@@ -300,7 +300,7 @@
 {
 	feed_t *feed = &edge->feed;
 	uint32_t hosts = peers_host_count(&edge->roster, now);
-	bool well = feed_is_well(feed);
+	bool well = feed_is_healthy(feed);
 
 	edge->reader = may_read(edge, now);
 	for (int kind = 0; kind < REPLICA_KIND_COUNT; kind++) {
@@ -397,7 +397,7 @@
 	mesh_send_quota(&edge->mesh, address, message);
 }
 
-static const feed_ops_t feed_ops = { .configuration = on_configuration };
+static const feed_ops_t feed_ops = { .config_updated = on_configuration };
 
 /* Start and end. */
 
@@ -438,7 +438,7 @@
 		.first_start = edge->settings.first_start,
 		.registry = &edge->registry,
 		.roster = &edge->roster,
-		.replica = &edge->feed.mirrors[REPLICA_CONFIGURATION],
+		.replica = &edge->feed.replicas[REPLICA_CONFIGURATION],
 		.slots = &edge->slots,
 		.send_quota = on_send_quota,
 		.send_context = edge,
@@ -457,7 +457,7 @@
 		.loop = edge->loop,
 		.note_port = edge->settings.gossip_port,
 		.roster = &edge->roster,
-		.mirrors = edge->feed.mirrors,
+		.mirrors = edge->feed.replicas,
 		.registry = &edge->registry,
 		.quota = &edge->gateway.quota,
 		.slots = &edge->slots,
--- a/test/fuzz_records.c
+++ b/test/fuzz_records.c
@@ -24,17 +24,17 @@
 	int error;
 
 	registry_init(&registry);
-	error = records_endpoint(RECORDS_ENDPOINTS "i", text, length, 1, put,
-				 &registry, reason);
+	error = records_decode_endpoint(RECORDS_ENDPOINT_PREFIX "i", text,
+					length, 1, put, &registry, reason);
 	if ((error != 0) != (registry.count == 0) || (error && !reason[0]))
 		abort();
 	registry_finish(&registry);
 }
 
-static void fuzz_configuration(const char *text, size_t length)
+static void fuzz_config(const char *text, size_t length)
 {
 	char reason[RECORDS_REASON_BYTES] = "";
-	catalog_t *catalog = records_configuration(text, length, reason);
+	catalog_t *catalog = records_decode_config(text, length, reason);
 
 	if (!catalog && !reason[0])
 		abort();
@@ -52,6 +52,6 @@
 	if (data[0] & 1)
 		fuzz_endpoint((const char *)data + 1, size - 1);
 	else
-		fuzz_configuration((const char *)data + 1, size - 1);
+		fuzz_config((const char *)data + 1, size - 1);
 	return 0;
 }
--- a/test/test_records.c
+++ b/test/test_records.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CONFIGURATION                                                           \
+#define VALID_CONFIG                                                            \
 	"{\"version\":7,\"routes\":[{\"name\":\"r1\",\"host\":\"A.example\","   \
 	"\"prefix\":\"/p/\",\"route_type\":\"streaming\",\"timeout_ms\":12000," \
 	"\"goal_ms\":400,\"priority\":1,\"max_attempts\":2,\"resumable\":true," \
@@ -19,11 +19,11 @@
 	"\"unit\":\"tokens\",\"plain_tokens\":200,\"rate_per_s\":1.5,"          \
 	"\"burst\":100}],\"unheard_of\":[1]}"
 
-START_TEST(a_configuration_is_read_whole)
+START_TEST(valid_config_is_decoded)
 {
 	char reason[RECORDS_REASON_BYTES];
-	catalog_t *c = records_configuration(CONFIGURATION,
-					     strlen(CONFIGURATION), reason);
+	catalog_t *c = records_decode_config(VALID_CONFIG, strlen(VALID_CONFIG),
+					     reason);
 	const catalog_route_t *route;
 
 	ck_assert_ptr_nonnull(c);
@@ -51,7 +51,7 @@
 static const struct {
 	const char *json;
 	const char *reason; /* a part of it */
-} bad_configurations[] = {
+} invalid_configs[] = {
 	{ "", "" },
 	{ "[]", "version" },
 	{ "{\"version\":\"7\"}", "version" },
@@ -68,14 +68,14 @@
 	  "api_keys" },
 };
 
-START_TEST(a_configuration_that_is_not_whole_is_refused_with_a_reason)
+START_TEST(invalid_config_is_rejected_with_reason)
 {
-	const char *json = bad_configurations[_i].json;
+	const char *json = invalid_configs[_i].json;
 	char reason[RECORDS_REASON_BYTES] = "";
 
-	ck_assert_ptr_null(records_configuration(json, strlen(json), reason));
-	ck_assert_msg(strstr(reason, bad_configurations[_i].reason) != NULL,
-		      "%s", reason);
+	ck_assert_ptr_null(records_decode_config(json, strlen(json), reason));
+	ck_assert_msg(strstr(reason, invalid_configs[_i].reason) != NULL, "%s",
+		      reason);
 }
 END_TEST
 
@@ -123,20 +123,21 @@
 	{ "", "record" },
 };
 
-START_TEST(an_endpoint_is_taken_whole_or_not_at_all)
+START_TEST(invalid_endpoint_record_is_rejected)
 {
 	const char *json = endpoints[_i].json;
-	const char *wanted = endpoints[_i].reason;
+	const char *expected_reason = endpoints[_i].reason;
 	char reason[RECORDS_REASON_BYTES] = "";
 	int error;
 
 	registry_init(&registry);
-	error = records_endpoint(RECORDS_ENDPOINTS "i-1", json, strlen(json), 3,
-				 put, NULL, reason);
-	ck_assert_int_eq(error, wanted ? PIMENTO_EPARSE : 0);
-	ck_assert_uint_eq(registry.count, wanted ? 0 : 1);
-	if (wanted)
-		ck_assert_msg(strstr(reason, wanted) != NULL, "%s", reason);
+	error = records_decode_endpoint(RECORDS_ENDPOINT_PREFIX "i-1", json,
+					strlen(json), 3, put, NULL, reason);
+	ck_assert_int_eq(error, expected_reason ? PIMENTO_EPARSE : 0);
+	ck_assert_uint_eq(registry.count, expected_reason ? 0 : 1);
+	if (expected_reason)
+		ck_assert_msg(strstr(reason, expected_reason) != NULL, "%s",
+			      reason);
 	else
 		ck_assert_str_eq(registry.endpoints[0]->id, "i-1");
 	registry_finish(&registry);
@@ -150,12 +151,11 @@
 	SRunner *runner;
 	int failed;
 
-	tcase_add_test(tests, a_configuration_is_read_whole);
-	tcase_add_loop_test(
-		tests,
-		a_configuration_that_is_not_whole_is_refused_with_a_reason, 0,
-		sizeof(bad_configurations) / sizeof(bad_configurations[0]));
-	tcase_add_loop_test(tests, an_endpoint_is_taken_whole_or_not_at_all, 0,
+	tcase_add_test(tests, valid_config_is_decoded);
+	tcase_add_loop_test(tests, invalid_config_is_rejected_with_reason, 0,
+			    sizeof(invalid_configs) /
+				    sizeof(invalid_configs[0]));
+	tcase_add_loop_test(tests, invalid_endpoint_record_is_rejected, 0,
 			    sizeof(endpoints) / sizeof(endpoints[0]));
 	suite_add_tcase(suite, tests);
 	runner = srunner_create(suite);
