--- a/test/fuzz_records.c
+++ b/test/fuzz_records.c
@@ -1,6 +1,7 @@
 /*
- * The platform's records: whatever text is published, it is taken whole or
- * refused with a reason.
+ * Fuzzes the decoding of the platform's records: any input must be either
+ * accepted as a whole or rejected with a reason. The lowest bit of the first
+ * byte selects an endpoint record (1) or a configuration (0).
  */
 
 #include "records.h"
--- a/test/test_records.c
+++ b/test/test_records.c
@@ -1,4 +1,8 @@
-/* The platform's records, good and bad, as the product understands them. */
+/*
+ * Decoding of the platform's configuration and endpoint records. Guards against
+ * fields that are lost or misread, and against invalid records that are
+ * accepted in part or rejected without a reason that names the field.
+ */
 
 #include "records.h"
 
@@ -50,7 +54,7 @@
 
 static const struct {
 	const char *json;
-	const char *reason; /* a part of it */
+	const char *reason; /* substring expected in the reported reason */
 } invalid_configs[] = {
 	{ "", "" },
 	{ "[]", "version" },
@@ -89,7 +93,7 @@
 
 static const struct {
 	const char *json;
-	const char *reason; /* NULL: it is good */
+	const char *reason; /* expected substring; NULL: the record is valid */
 } endpoints[] = {
 	{ "{\"service\":\"s\",\"address\":\"10.1.0.9:8080\",\"zone\":\"z\","
 	  "\"slots\":12,\"state\":\"ready\",\"born\":1700000000000}",
