--- a/bench/slope_table.c
+++ b/bench/slope_table.c
@@ -220,7 +220,7 @@
 	for (uint32_t i = 0; i < keys; i++) {
 		q.key = (pimento_key_t){ ID(i), ID(i + 3) };
 		q.sequence = i + 1;
-		q.dispatch.request.lo = i + 1;
+		q.dispatch.id.lo = i + 1;
 		q.dispatch.endpoint = ID(1);
 		q.op = CLAIM_TAKE;
 		q.dispatch.done = 0;
--- a/src/claim.c
+++ b/src/claim.c
@@ -205,7 +205,7 @@
 		const claim_report_t *report = &claim->reports[i];
 
 		count += report->attempt &&
-			 pimento_reqid_equal(report->request, request);
+			 pimento_reqid_equal(report->dispatch_id, request);
 	}
 	return count;
 }
@@ -230,7 +230,7 @@
 
 static bool is_ours(const claim_t *claim, pimento_reqid_t request)
 {
-	return pimento_reqid_equal(claim->dispatch.request, request);
+	return pimento_reqid_equal(claim->dispatch.id, request);
 }
 
 /*
@@ -244,14 +244,14 @@
 	for (uint32_t i = 0; i < claim->options.witnesses.count; i++) {
 		const claim_report_t *report = &claim->reports[i];
 
-		if (!report->attempt || is_ours(claim, report->request))
+		if (!report->attempt || is_ours(claim, report->dispatch_id))
 			continue;
 		if (!report->done && sealed_by_quorum(claim, report->attempt))
 			continue;
 		if (!best || report->done ||
 		    (!best->done &&
-		     count_holders(claim, report->request) >
-			     count_holders(claim, best->request)))
+		     count_holders(claim, report->dispatch_id) >
+			     count_holders(claim, best->dispatch_id)))
 			best = report;
 	}
 	return best;
@@ -263,7 +263,7 @@
 	const claim_report_t *report = strongest_rival(claim);
 
 	return report &&
-	       (report->done || count_holders(claim, report->request) >=
+	       (report->done || count_holders(claim, report->dispatch_id) >=
 					claim->options.witnesses.quorum);
 }
 
@@ -272,7 +272,7 @@
 {
 	const claim_report_t *best = strongest_rival(claim);
 
-	if (!best || !pimento_reqid_equal(best->request, dispatch->request))
+	if (!best || !pimento_reqid_equal(best->dispatch_id, dispatch->id))
 		return;
 	claim->held = *dispatch;
 	claim->held_valid = true;
@@ -285,7 +285,7 @@
 	uint32_t bit = 1U << index;
 
 	report->attempt = reply->attempt;
-	report->request = reply->dispatch.request;
+	report->dispatch_id = reply->dispatch.id;
 	report->done = reply->attempt && reply->dispatch.done;
 	switch (reply->result) {
 	case PIMENTO_OK:
@@ -326,7 +326,7 @@
 static claim_event_t held_event(claim_t *claim)
 {
 	claim->held_reported = true;
-	claim->reported_request = claim->held.request;
+	claim->reported_dispatch = claim->held.id;
 	return claim->held.digest == claim->options.digest ? CLAIM_HELD
 							   : CLAIM_MISMATCH;
 }
@@ -336,8 +336,8 @@
  * sealed attempt. A caller's attempt is never raised: it may already have been
  * reported as "not run", so dispatching it under another number would be wrong.
  */
-static claim_event_t end_query_free(claim_t *claim, pimento_usec_t now,
-				    outbox_t *out)
+static claim_event_t end_query_unclaimed_key(claim_t *claim, pimento_usec_t now,
+					     outbox_t *out)
 {
 	if (!claim->attempt)
 		claim->attempt = claim->sealed + 1;
@@ -347,7 +347,7 @@
 	return CLAIM_NO_EVENT;
 }
 
-static claim_event_t end_query_held(claim_t *claim)
+static claim_event_t end_query_held_key(claim_t *claim)
 {
 	if (!claim->attempt)
 		claim->attempt = strongest_rival(claim)->attempt;
@@ -370,11 +370,11 @@
 		if (timed_out || rival_won(claim) ||
 		    count_bits(replied) == set->count ||
 		    (quorum && now >= claim->resend_at))
-			return end_query_held(claim);
+			return end_query_held_key(claim);
 		return CLAIM_NO_EVENT;
 	}
 	if (quorum)
-		return end_query_free(claim, now, out);
+		return end_query_unclaimed_key(claim, now, out);
 	if (claim->expired && quorum_impossible(claim, claim->refused_mask))
 		return end_step(claim, CLAIM_ENDED, CLAIM_EXPIRED);
 	if (timed_out || quorum_impossible(claim, claim->refused_mask))
@@ -411,8 +411,8 @@
 		return CLAIM_NO_EVENT;
 	is_new = claim->held_valid &&
 		 (!claim->held_reported || claim->held.done ||
-		  !pimento_reqid_equal(claim->reported_request,
-				       claim->held.request));
+		  !pimento_reqid_equal(claim->reported_dispatch,
+				       claim->held.id));
 	return is_new ? held_event(claim) : CLAIM_MAY_HAVE_RUN;
 }
 
@@ -447,8 +447,8 @@
 	return CLAIM_NO_EVENT;
 }
 
-static claim_event_t decide(claim_t *claim, pimento_usec_t now, bool timed_out,
-			    outbox_t *out)
+static claim_event_t decide_step(claim_t *claim, pimento_usec_t now,
+				 bool timed_out, outbox_t *out)
 {
 	switch (claim->state) {
 	case CLAIM_QUERYING:
@@ -479,9 +479,9 @@
 	if (index < 0 || !step_pending(claim))
 		return CLAIM_NO_EVENT;
 	if (now >= claim->deadline)
-		return decide(claim, now, true, out);
+		return decide_step(claim, now, true, out);
 	record_reply(claim, index, reply);
-	return decide(claim, now, false, out);
+	return decide_step(claim, now, false, out);
 }
 
 claim_event_t claim_tick(claim_t *claim, pimento_usec_t now, outbox_t *out)
@@ -490,7 +490,7 @@
 
 	if (!step_pending(claim) || now < claim_deadline(claim))
 		return CLAIM_NO_EVENT;
-	event = decide(claim, now, now >= claim->deadline, out);
+	event = decide_step(claim, now, now >= claim->deadline, out);
 	if (step_pending(claim) && now >= claim->resend_at)
 		send_requests(claim, now, out);
 	return event;
--- a/src/claim.h
+++ b/src/claim.h
@@ -99,7 +99,7 @@
 	uint32_t sealed; /* highest sealed attempt, 0 if none */
 	uint32_t attempt; /* attempt of the claim held there, 0 if none */
 	bool done; /* the outcome of that claim's dispatch is known */
-	pimento_reqid_t request;
+	pimento_reqid_t dispatch_id;
 } claim_report_t;
 
 typedef struct claim {
@@ -116,7 +116,7 @@
 	claim_report_t reports[PIMENTO_WITNESSES_MAX];
 	bool held_valid; /* held is filled in */
 	bool held_reported; /* an event has reported reported_request as held */
-	pimento_reqid_t reported_request;
+	pimento_reqid_t reported_dispatch;
 	message_dispatch_t held; /* other entry's dispatch that holds the key */
 	message_dispatch_t dispatch; /* dispatch that this entry claims */
 	pimento_usec_t key_created; /* creation of the key, entry's clock */
--- a/src/entry.c
+++ b/src/entry.c
@@ -401,7 +401,7 @@
 
 	if (!entry->claim || entry->claim->state != CLAIM_TAKEN)
 		return;
-	record.request = entry->id;
+	record.id = entry->id;
 	record.endpoint = entry->endpoint;
 	record.digest = entry->request.digest;
 	record.done = 1;
--- a/src/entry_claim.c
+++ b/src/entry_claim.c
@@ -45,7 +45,7 @@
 {
 	message_dispatch_t record = { 0 };
 
-	record.request = entry->id;
+	record.id = entry->id;
 	record.endpoint = entry->endpoint;
 	record.digest = entry->request.digest;
 	entry->state = ENTRY_CLAIMING;
@@ -111,7 +111,7 @@
 	}
 	if (entry->request.is_model) {
 		entry->resume_endpoint = held->endpoint;
-		entry->resume_stream = held->request;
+		entry->resume_stream = held->id;
 		entry_resume(table, entry);
 		return;
 	}
--- a/src/message.h
+++ b/src/message.h
@@ -149,7 +149,7 @@
 
 /* Where a claimed request runs, and what a repeated request needs to resume it. */
 typedef struct message_dispatch {
-	pimento_reqid_t request; /* id of the dispatch at the endpoint */
+	pimento_reqid_t id; /* id of the dispatch at the endpoint */
 	pimento_id_t endpoint;
 	/* hash of the request body; the key is refused with another body */
 	uint64_t digest;
--- a/src/wire.c
+++ b/src/wire.c
@@ -69,7 +69,7 @@
 {
 	wire__place__init(&s->dispatch);
 	s->dispatch.request =
-		put_id(&s->dispatch_reqid, from->request.hi, from->request.lo);
+		put_id(&s->dispatch_reqid, from->id.hi, from->id.lo);
 	s->dispatch.endpoint = from->endpoint;
 	s->dispatch.digest = from->digest;
 	s->dispatch.done = from->done;
@@ -461,7 +461,7 @@
 		return PIMENTO_OK;
 	if (from->answer.len > MESSAGE_ANSWER_BYTES_MAX || from->status > 999)
 		return PIMENTO_EPARSE;
-	to->request = get_reqid(from->request);
+	to->id = get_reqid(from->request);
 	to->endpoint = from->endpoint;
 	to->digest = from->digest;
 	to->done = from->done;
--- a/src/witness.c
+++ b/src/witness.c
@@ -160,8 +160,8 @@
 		remove_oldest(witness);
 }
 
-static void touch(witness_t *witness, pimento_usec_t now,
-		  witness_record_t *record)
+static void move_to_newest(witness_t *witness, pimento_usec_t now,
+			   witness_record_t *record)
 {
 	record->changed_at = now;
 	age_unlink(witness, record);
@@ -175,7 +175,7 @@
 	witness_record_t *record = *at;
 
 	if (record) {
-		touch(witness, now, record);
+		move_to_newest(witness, now, record);
 		return record;
 	}
 	if (witness->count >= capacity)
@@ -191,7 +191,7 @@
 	return record;
 }
 
-static bool holds(const witness_record_t *record, pimento_reqid_t request)
+static bool is_held_by(const witness_record_t *record, pimento_reqid_t request)
 {
 	return record->attempt && pimento_reqid_equal(record->request, request);
 }
@@ -200,7 +200,7 @@
 {
 	record->attempt = msg->attempt;
 	record->sequence = msg->sequence;
-	record->request = msg->dispatch.request;
+	record->request = msg->dispatch.id;
 	record->endpoint = msg->dispatch.endpoint;
 	record->digest = msg->dispatch.digest;
 }
@@ -217,7 +217,7 @@
 {
 	witness_record_t *record = *find_link(witness, msg->key);
 
-	if (record && record->attempt && !holds(record, msg->dispatch.request))
+	if (record && record->attempt && !is_held_by(record, msg->dispatch.id))
 		return PIMENTO_ECLAIMED;
 	if (record && record->sealed >= msg->attempt)
 		return PIMENTO_ESEALED;
@@ -235,7 +235,7 @@
 {
 	witness_record_t *record = *find_link(witness, msg->key);
 
-	if (record && record->attempt && !holds(record, msg->dispatch.request))
+	if (record && record->attempt && !is_held_by(record, msg->dispatch.id))
 		return PIMENTO_ECLAIMED;
 	/* A delayed duplicate of a seal must not free a key whose dispatch ran. */
 	if (record && record->done)
@@ -408,12 +408,12 @@
 	reply->attempt = record->attempt;
 	if (!record->attempt)
 		return;
-	dispatch->request = record->request;
+	dispatch->id = record->request;
 	dispatch->endpoint = record->endpoint;
 	dispatch->digest = record->digest;
 	dispatch->done = record->done;
 	dispatch->status = record->status;
-	if (!record->answer_size || holds(record, msg->dispatch.request))
+	if (!record->answer_size || is_held_by(record, msg->dispatch.id))
 		return;
 	dispatch->answer_size = record->answer_size;
 	memcpy(dispatch->answer, record->answer, record->answer_size);
--- a/test/test_claim.c
+++ b/test/test_claim.c
@@ -132,7 +132,7 @@
 static message_dispatch_t dispatch_of(int e)
 {
 	message_dispatch_t dispatch = {
-		.request = { (uint64_t)e + 1, 1 },
+		.id = { (uint64_t)e + 1, 1 },
 		.endpoint = (pimento_id_t)e + 51,
 		.digest = 5,
 		.status = 200,
@@ -433,7 +433,7 @@
 	{ "last character cut off", 0, PIMENTO_EPARSE },
 };
 
-static char other_char(char c)
+static char different_char(char c)
 {
 	return c == 'A' ? 'B' : 'A';
 }
@@ -455,7 +455,7 @@
 		text[length - 1] = 0;
 	if (issued_cases[_i].at > 0)
 		text[issued_cases[_i].at] =
-			other_char(text[issued_cases[_i].at]);
+			different_char(text[issued_cases[_i].at]);
 	ck_assert_int_eq(idem_key_parse(secret, text, &read, &created_ms),
 			 issued_cases[_i].result);
 	if (issued_cases[_i].result)
--- a/test/test_claim_random.c
+++ b/test/test_claim_random.c
@@ -284,7 +284,7 @@
 static message_dispatch_t dispatch_of(const run_t *run, uint32_t e)
 {
 	message_dispatch_t dispatch = {
-		.request = { 100 + e, 1 },
+		.id = { 100 + e, 1 },
 		.endpoint = 50 + e,
 		.digest = run->entries[e].digest,
 		.status = 200,
