--- a/src/endpoint.c
+++ b/src/endpoint.c
@@ -98,7 +98,7 @@
 {
 	uint32_t mean = (uint32_t)(e->running_tokens / e->running);
 
-	return limit_service_span(&e->limit, 0, 0, mean) / e->running;
+	return limit_answer_span(&e->limit, 0, 0, mean) / e->running;
 }
 
 uint32_t endpoint_tier_slots(const owner_endpoint_t *e, pimento_usec_t now,
@@ -225,8 +225,8 @@
 	if (e->config.target == CONFIG_TARGET_SERVICE)
 		return endpoint_speed_measured(e)
 			       ? (pimento_usec_t)(SERVICE_TIME_MARGIN *
-						  limit_service_span(limit, 0,
-								     0, 0))
+						  limit_answer_span(limit, 0, 0,
+								    0))
 			       : 0;
 	if (limit_prefill_rate(limit) > 0)
 		span += (double)limit_prefill_span(limit, e->prefill_tokens,
--- a/src/grants.c
+++ b/src/grants.c
@@ -302,7 +302,8 @@
 	return 0;
 }
 
-static void expire_foreign(grants_endpoint_t *e, pimento_usec_t now)
+static void expire_running_without_grant(grants_endpoint_t *e,
+					 pimento_usec_t now)
 {
 	for (uint32_t i = e->foreign_count; i-- > 0;) {
 		grants_foreign_t *foreign = &e->foreign[i];
@@ -326,7 +327,7 @@
 		if (entry->granted && now - entry->renewed_at > GRANTS_LEASE)
 			remove_entry(e, i);
 	}
-	expire_foreign(e, now);
+	expire_running_without_grant(e, now);
 }
 
 bool grants_is_requested(const grants_t *grants, uint32_t endpoint,
--- a/src/limit.c
+++ b/src/limit.c
@@ -256,8 +256,8 @@
 	return (pimento_usec_t)(seconds * PIMENTO_SEC);
 }
 
-pimento_usec_t limit_service_span(const limit_t *limit, uint32_t ahead,
-				  uint32_t prompt, uint32_t answer)
+pimento_usec_t limit_answer_span(const limit_t *limit, uint32_t ahead,
+				 uint32_t prompt, uint32_t answer)
 {
 	if (limit->target == CONFIG_TARGET_SERVICE)
 		return mean_service_span(limit);
--- a/src/limit.h
+++ b/src/limit.h
@@ -99,8 +99,8 @@
  * Time from dispatch to the complete answer, with ahead prompt tokens queued
  * before the request.
  */
-pimento_usec_t limit_service_span(const limit_t *limit, uint32_t ahead,
-				  uint32_t prompt, uint32_t answer);
+pimento_usec_t limit_answer_span(const limit_t *limit, uint32_t ahead,
+				 uint32_t prompt, uint32_t answer);
 
 /*
  * Share of the endpoint's time that a request uses up: prompts are read one
--- a/src/owner.c
+++ b/src/owner.c
@@ -265,7 +265,7 @@
 	int lowest = -1;
 
 	for (uint32_t i = 0; i < owner->count; i++) {
-		int tier = queue_lowest_tier(&owner->endpoints[i]->queue);
+		int tier = queue_least_urgent_tier(&owner->endpoints[i]->queue);
 
 		if (tier > lowest) {
 			lowest = tier;
@@ -293,7 +293,7 @@
 		if (!endpoint_same_target(e, reference))
 			continue;
 		e->tier_floor_until[tier] = now + OWNER_TIER_FLOOR_SPAN;
-		while ((lowest = queue_lowest_tier(&e->queue)) > tier)
+		while ((lowest = queue_least_urgent_tier(&e->queue)) > tier)
 			refuse_reservation(owner, now,
 					   (reservation_t *)queue_victim(
 						   &e->queue, lowest),
@@ -587,7 +587,7 @@
 {
 	int tier;
 
-	while ((tier = queue_lowest_tier(&e->queue)) >= 0)
+	while ((tier = queue_least_urgent_tier(&e->queue)) >= 0)
 		refuse_reservation(
 			owner, now,
 			(reservation_t *)queue_victim(&e->queue, tier), reason);
@@ -757,7 +757,7 @@
 		owner_endpoint_t *e = owner->endpoints[0];
 		int tier;
 
-		while ((tier = queue_lowest_tier(&e->queue)) >= 0)
+		while ((tier = queue_least_urgent_tier(&e->queue)) >= 0)
 			discard_reservation(
 				owner,
 				(reservation_t *)queue_victim(&e->queue, tier));
--- a/src/prompt_mix.c
+++ b/src/prompt_mix.c
@@ -23,7 +23,8 @@
 	memset(mix, 0, sizeof(*mix));
 }
 
-prompt_mix_target_t *prompt_mix_target(prompt_mix_t *mix, pimento_id_t name)
+prompt_mix_target_t *prompt_mix_find_or_add_target(prompt_mix_t *mix,
+						   pimento_id_t name)
 {
 	for (int i = 0; i < PROMPT_MIX_TARGETS_MAX; i++) {
 		if (!mix->targets[i].name)
@@ -68,7 +69,7 @@
 	return all;
 }
 
-uint8_t prompt_mix_lowest_long_tier(const prompt_mix_target_t *t)
+uint8_t prompt_mix_last_tier_with_long_prompts(const prompt_mix_target_t *t)
 {
 	double least =
 		WORK_SHARE_MIN * sum_work(t->long_work, PIMENTO_TIERS_MAX);
@@ -83,8 +84,8 @@
 double prompt_mix_short_share(const prompt_mix_target_t *t)
 {
 	double long_work = sum_work(t->long_work, PIMENTO_TIERS_MAX);
-	double short_work =
-		sum_work(t->short_work, prompt_mix_lowest_long_tier(t) + 1);
+	double short_work = sum_work(
+		t->short_work, prompt_mix_last_tier_with_long_prompts(t) + 1);
 
 	if (long_work <= 0 || short_work <= WORK_SHARE_MIN * long_work)
 		return 0;
--- a/src/prompt_mix.h
+++ b/src/prompt_mix.h
@@ -29,14 +29,16 @@
 /*
  * Returns the entry of a target, added if it is new; NULL if the table is full.
  */
-prompt_mix_target_t *prompt_mix_target(prompt_mix_t *mix, pimento_id_t name);
+prompt_mix_target_t *prompt_mix_find_or_add_target(prompt_mix_t *mix,
+						   pimento_id_t name);
 
 /* Records a new request. work is in seconds of a typical endpoint's time. */
 void prompt_mix_record(prompt_mix_target_t *target, pimento_usec_t now,
 		       uint8_t tier, double work, bool is_long);
 
 /* Least urgent tier that has long prompts, 0 if none has. */
-uint8_t prompt_mix_lowest_long_tier(const prompt_mix_target_t *target);
+uint8_t
+prompt_mix_last_tier_with_long_prompts(const prompt_mix_target_t *target);
 
 /*
  * Share of the total capacity to keep free of long prompts, in [0, 1]: the
--- a/src/queue.c
+++ b/src/queue.c
@@ -209,7 +209,7 @@
 	return flow ? heap_top(&flow->latest) : NULL;
 }
 
-int queue_lowest_tier(const queue_t *queue)
+int queue_least_urgent_tier(const queue_t *queue)
 {
 	for (int i = PIMENTO_TIERS_MAX - 1; i >= 0; i--)
 		if (queue->tiers[i].count)
--- a/src/queue.h
+++ b/src/queue.h
@@ -81,7 +81,7 @@
 queue_item_t *queue_victim(const queue_t *queue, uint8_t tier);
 
 /* Least urgent tier with waiting items, -1 if the queue is empty. */
-int queue_lowest_tier(const queue_t *queue);
+int queue_least_urgent_tier(const queue_t *queue);
 
 /* Sum of the work waiting in this tier and in more urgent ones. */
 pimento_usec_t queue_work(const queue_t *queue, uint8_t tier);
--- a/src/route.c
+++ b/src/route.c
@@ -487,8 +487,10 @@
 
 	if (query->target != CONFIG_TARGET_MODEL)
 		return false;
-	target = prompt_mix_target(&route->mix, pimento_id(query->target_name));
-	return target && query->tier <= prompt_mix_lowest_long_tier(target);
+	target = prompt_mix_find_or_add_target(&route->mix,
+					       pimento_id(query->target_name));
+	return target &&
+	       query->tier <= prompt_mix_last_tier_with_long_prompts(target);
 }
 
 static route_endpoint_t *pick_short(route_t *route, pimento_usec_t now,
@@ -522,7 +524,8 @@
 
 	if (query->target != CONFIG_TARGET_MODEL)
 		return;
-	target = prompt_mix_target(&route->mix, pimento_id(query->target_name));
+	target = prompt_mix_find_or_add_target(&route->mix,
+					       pimento_id(query->target_name));
 	if (target)
 		prompt_mix_record(target, now, query->tier,
 				  work_seconds(query, best),
@@ -547,7 +550,7 @@
 		return PIMENTO_EUNREACHABLE;
 	found->pending_work += work_seconds(query, &best);
 	choice->endpoint = found->id;
-	choice->expected = (pimento_usec_t)(least * PIMENTO_SEC);
+	choice->expected_time = (pimento_usec_t)(least * PIMENTO_SEC);
 	return 0;
 }
 
@@ -610,7 +613,7 @@
 	q.avoid = retry->refused;
 	q.avoid_count = retry->refused_count;
 	return !choose_endpoint(route, now, &q, false, choice) &&
-	       choice->expected <= query->time_left;
+	       choice->expected_time <= query->time_left;
 }
 
 /*
--- a/src/route.h
+++ b/src/route.h
@@ -44,7 +44,7 @@
 typedef struct route_choice {
 	pimento_id_t endpoint;
 	/* expected time until the answer is complete */
-	pimento_usec_t expected;
+	pimento_usec_t expected_time;
 } route_choice_t;
 
 int route_init(route_t *route, uint64_t seed);
--- a/test/test_limit.c
+++ b/test/test_limit.c
@@ -109,7 +109,7 @@
 	prompt_mix_target_t *target;
 
 	prompt_mix_init(&mix);
-	target = prompt_mix_target(&mix, 1);
+	target = prompt_mix_find_or_add_target(&mix, 1);
 	prompt_mix_record(target, 0, prompt_mix_cases[_i].short_tier,
 			  prompt_mix_cases[_i].short_work, false);
 	prompt_mix_record(target, 0, 1, prompt_mix_cases[_i].long_work, true);
