--- a/io/slots.c
+++ b/io/slots.c
@@ -68,10 +68,10 @@
 		.running = grants_running(&slots->grants, key),
 		.waiting = grants_waiting(&slots->grants, key),
 		.event_gap_us = (uint32_t)endpoint->latency.event_gap_us,
-		.unreachable =
-			endpoint->latency.consecutive_unreachable > 0 ||
-			(service && latency_is_failing(&endpoint->latency,
-						       &service->latency)),
+		.unreachable = endpoint->latency.consecutive_unreachable > 0 ||
+			       (service &&
+				latency_endpoint_is_failing(&endpoint->latency,
+							    &service->latency)),
 	};
 
 	if (endpoint->latency.ejected_until > now)
@@ -126,7 +126,8 @@
 
 	if (!service || endpoint->latency.consecutive_unreachable)
 		return 1;
-	if (latency_is_failing(&endpoint->latency, &service->latency) &&
+	if (latency_endpoint_is_failing(&endpoint->latency,
+					&service->latency) &&
 	    has_alternative(slots, endpoint, now))
 		return 1;
 	return placement_in_flight_limit(service, endpoint);
--- a/src/latency.c
+++ b/src/latency.c
@@ -211,8 +211,8 @@
 	update_failure_rate(latency_model, service, false);
 }
 
-bool latency_is_failing(const latency_model_t *latency_model,
-			const latency_service_t *service)
+bool latency_endpoint_is_failing(const latency_model_t *latency_model,
+				 const latency_service_t *service)
 {
 	return latency_model->failure_rate > EJECT_FAILURE_RATE_MIN &&
 	       latency_model->failure_rate >
@@ -223,7 +223,7 @@
 			 latency_service_t *service, pimento_usec_t now)
 {
 	update_failure_rate(latency_model, service, true);
-	if (latency_is_failing(latency_model, service))
+	if (latency_endpoint_is_failing(latency_model, service))
 		latency_model->ejected_until = now + EJECT_FAILING_TIME;
 }
 
--- a/src/latency.h
+++ b/src/latency.h
@@ -110,8 +110,8 @@
 				 latency_service_t *service,
 				 latency_outcome_t outcome, pimento_usec_t now);
 /* True if the endpoint fails far more often than its service. */
-bool latency_is_failing(const latency_model_t *latency_model,
-			const latency_service_t *service);
+bool latency_endpoint_is_failing(const latency_model_t *latency_model,
+				 const latency_service_t *service);
 
 /* Mean gap of the endpoint divided by its service's mean gap; 1 unknown. */
 double latency_slowness(const latency_model_t *latency_model,
--- a/src/placement.c
+++ b/src/placement.c
@@ -84,12 +84,13 @@
 	return placement_in_flight_limit(service, endpoint);
 }
 
-static uint32_t in_flight(const registry_endpoint_t *endpoint)
+static uint32_t total_in_flight(const registry_endpoint_t *endpoint)
 {
 	return endpoint->running + endpoint->remote_running;
 }
 
-static bool contains(const pimento_id_t *keys, uint32_t count, pimento_id_t key)
+static bool contains_key(const pimento_id_t *keys, uint32_t count,
+			 pimento_id_t key)
 {
 	for (uint32_t i = 0; i < count; i++)
 		if (keys[i] == key)
@@ -103,11 +104,11 @@
  */
 static bool is_excluded(const placement_request_t *request, pimento_id_t key)
 {
-	return contains(request->tried, request->tried_count, key) ||
-	       contains(request->queued_at, request->queued_at_count, key);
+	return contains_key(request->tried, request->tried_count, key) ||
+	       contains_key(request->queued_at, request->queued_at_count, key);
 }
 
-static bool same_text(const char *a, const char *b)
+static bool strings_equal(const char *a, const char *b)
 {
 	while (*a && *a == *b) {
 		a++;
@@ -237,11 +238,11 @@
 	return FIT_GOOD;
 }
 
-static double cost(const registry_endpoint_t *endpoint,
-		   const registry_service_t *service,
-		   const placement_request_t *request)
+static double placement_cost(const registry_endpoint_t *endpoint,
+			     const registry_service_t *service,
+			     const placement_request_t *request)
 {
-	double load = (double)in_flight(endpoint) /
+	double load = (double)total_in_flight(endpoint) /
 		      (double)(endpoint->slots ? endpoint->slots : 1);
 	double first = expected_first_event(endpoint, service, request);
 
@@ -254,7 +255,7 @@
 						   endpoint->key);
 	if (!endpoint->idle_connections)
 		first *= 1 + CONNECT_COST;
-	if (!same_text(endpoint->datacentre, request->datacentre))
+	if (!strings_equal(endpoint->datacentre, request->datacentre))
 		first *= 1 + REMOTE_DATACENTRE_COST;
 	return first;
 }
@@ -305,9 +306,9 @@
 		choice->cost = INFINITY;
 	}
 	if (fit < choice->best_fit || cannot_queue_at(endpoint, request, now) ||
-	    in_flight(endpoint) >= capacity(service, endpoint, request))
+	    total_in_flight(endpoint) >= capacity(service, endpoint, request))
 		return;
-	endpoint_cost = cost(endpoint, service, request);
+	endpoint_cost = placement_cost(endpoint, service, request);
 	if (endpoint_cost < choice->cost) {
 		choice->cost = endpoint_cost;
 		choice->best = endpoint;
@@ -355,7 +356,8 @@
 		if (e->service == request->service &&
 		    registry_endpoint_accepts_work(e, now) &&
 		    e->latency.ejected_until <= now &&
-		    !contains(request->tried, request->tried_count, e->key) &&
+		    !contains_key(request->tried, request->tried_count,
+				  e->key) &&
 		    endpoint_fit(e, service, request) > fit)
 			return false;
 	}
@@ -375,7 +377,7 @@
 		    !registry_endpoint_accepts_work(e, now))
 			continue;
 		headroom.capacity += e->slots;
-		headroom.in_flight += in_flight(e);
+		headroom.in_flight += total_in_flight(e);
 	}
 	return headroom;
 }
--- a/src/quota.c
+++ b/src/quota.c
@@ -54,7 +54,7 @@
 	free(quota->usages);
 }
 
-static quota_usage_t *find(const quota_t *quota, uint32_t account)
+static quota_usage_t *find_usage(const quota_t *quota, uint32_t account)
 {
 	for (uint32_t i = 0; i < quota->count; i++)
 		if (quota->usages[i].account == account)
@@ -62,9 +62,9 @@
 	return NULL;
 }
 
-static quota_usage_t *find_or_add(quota_t *quota, uint32_t account)
+static quota_usage_t *find_or_add_usage(quota_t *quota, uint32_t account)
 {
-	quota_usage_t *usage = find(quota, account);
+	quota_usage_t *usage = find_usage(quota, account);
 
 	if (usage)
 		return usage;
@@ -80,7 +80,7 @@
 quota_limit_t quota_update_limit(quota_t *quota, uint32_t account,
 				 uint64_t version, quota_limit_t limit)
 {
-	quota_usage_t *usage = find_or_add(quota, account);
+	quota_usage_t *usage = find_or_add_usage(quota, account);
 
 	if (!usage)
 		return limit;
@@ -91,7 +91,7 @@
 	return usage->limit;
 }
 
-static double seconds(pimento_usec_t span)
+static double to_seconds(pimento_usec_t span)
 {
 	return (double)span / (double)PIMENTO_SEC;
 }
@@ -108,7 +108,7 @@
 {
 	return quota->limit_ratio *
 	       (limit.tokens_per_second +
-		limit.burst * BURST_DRAIN_RATIO / seconds(quota->window));
+		limit.burst * BURST_DRAIN_RATIO / to_seconds(quota->window));
 }
 
 /* Level that another host reported, less what has drained since. */
@@ -116,7 +116,7 @@
 				   const quota_usage_t *usage,
 				   pimento_usec_t now)
 {
-	double drained = seconds(now - usage->reported_at) *
+	double drained = to_seconds(now - usage->reported_at) *
 			 drain_rate(quota, usage->limit);
 
 	if (!usage->reported_at || now - usage->reported_at > quota->window)
@@ -138,10 +138,10 @@
 	usage->drained_at = now;
 }
 
-static void drain(const quota_t *quota, quota_usage_t *usage,
-		  pimento_usec_t now)
+static void drain_bucket(const quota_t *quota, quota_usage_t *usage,
+			 pimento_usec_t now)
 {
-	usage->level -= seconds(now - usage->drained_at) *
+	usage->level -= to_seconds(now - usage->drained_at) *
 			drain_rate(quota, usage->limit);
 	usage->drained_at = now;
 	/* admissions by another owner are only known from its reports */
@@ -162,8 +162,8 @@
 				  RATE_CORRECTION_MAX));
 }
 
-static bool fits(const quota_t *quota, quota_usage_t *usage, uint32_t tier,
-		 double tokens, pimento_usec_t now)
+static bool fits_quota(const quota_t *quota, quota_usage_t *usage,
+		       uint32_t tier, double tokens, pimento_usec_t now)
 {
 	double capacity = bucket_size(quota, usage->limit);
 	double reserved;
@@ -182,7 +182,7 @@
 int quota_admit(quota_t *quota, pimento_id_t account, quota_limit_t limit,
 		uint32_t tier, double tokens, pimento_usec_t now)
 {
-	quota_usage_t *usage = find_or_add(quota, (uint32_t)account);
+	quota_usage_t *usage = find_or_add_usage(quota, (uint32_t)account);
 
 	if (!usage)
 		return PIMENTO_ENOMEM;
@@ -191,11 +191,11 @@
 	usage->limit = limit;
 	if (!usage->initialised)
 		init_level(quota, usage, now);
-	drain(quota, usage, now);
+	drain_bucket(quota, usage, now);
 	quota_share_add_demand(&usage->share, tier, tokens, now);
-	usage->admitted_at = now;
+	usage->requested_at = now;
 	if (limit.tokens_per_second > 0 &&
-	    !fits(quota, usage, tier, tokens, now))
+	    !fits_quota(quota, usage, tier, tokens, now))
 		return PIMENTO_EFULL;
 	usage->level += tokens;
 	return 0;
@@ -203,7 +203,7 @@
 
 void quota_refund(quota_t *quota, pimento_id_t account, double tokens)
 {
-	quota_usage_t *usage = find(quota, (uint32_t)account);
+	quota_usage_t *usage = find_usage(quota, (uint32_t)account);
 
 	if (!usage)
 		return;
@@ -214,7 +214,7 @@
 pimento_usec_t quota_retry_after(const quota_t *quota, pimento_id_t account,
 				 quota_limit_t limit, double tokens)
 {
-	const quota_usage_t *usage = find(quota, (uint32_t)account);
+	const quota_usage_t *usage = find_usage(quota, (uint32_t)account);
 	double over =
 		(usage ? usage->level : 0) + tokens - bucket_size(quota, limit);
 	double wait = 0;
@@ -226,7 +226,7 @@
 
 double quota_level(const quota_t *quota, pimento_id_t account)
 {
-	const quota_usage_t *usage = find(quota, (uint32_t)account);
+	const quota_usage_t *usage = find_usage(quota, (uint32_t)account);
 
 	return usage ? usage->level : 0;
 }
@@ -234,7 +234,7 @@
 void quota_apply_report(quota_t *quota, uint32_t account, double level,
 			pimento_usec_t at)
 {
-	quota_usage_t *usage = find_or_add(quota, account);
+	quota_usage_t *usage = find_or_add_usage(quota, account);
 
 	if (!quota->started_at)
 		quota->started_at = at;
@@ -252,9 +252,9 @@
 			pimento_usec_t now, quota_report_t *report)
 {
 	report->account = usage->account;
-	if (usage->admitted_at && now - usage->admitted_at < REPORT_AGE_MAX &&
-	    usage->admitted_at >= usage->reported_at) {
-		drain(quota, usage, now);
+	if (usage->requested_at && now - usage->requested_at < REPORT_AGE_MAX &&
+	    usage->requested_at >= usage->reported_at) {
+		drain_bucket(quota, usage, now);
 		report->level = usage->level;
 		report->age = 0;
 		return true;
--- a/src/quota.h
+++ b/src/quota.h
@@ -30,7 +30,7 @@
 	bool initialised; /* level has its initial value */
 	pimento_usec_t drained_at; /* when level was last drained */
 	/* time of the last request, admitted or not; 0 never */
-	pimento_usec_t admitted_at;
+	pimento_usec_t requested_at;
 	/* divides the rate by tier while the account is scarce */
 	quota_share_t share;
 	double reported_level; /* level in the newest report of another host */
--- a/src/quota_fleet.c
+++ b/src/quota_fleet.c
@@ -79,8 +79,9 @@
 	return live_share >= FULL_LIMIT_HOSTS_RATIO ? 1 : live_share;
 }
 
-static quota_decision_t decide(quota_t *quota, const quota_message_t *request,
-			       pimento_usec_t now)
+static quota_decision_t admit_or_refuse(quota_t *quota,
+					const quota_message_t *request,
+					pimento_usec_t now)
 {
 	quota_limit_t limit = quota_update_limit(
 		quota, request->account, request->version, request->limit);
@@ -105,7 +106,7 @@
 
 	fleet->owned.limit_ratio = partition_limit_ratio(fleet, now) *
 				   (non_owner ? NON_OWNER_LIMIT_RATIO : 1);
-	decision = decide(&fleet->owned, request, now);
+	decision = admit_or_refuse(&fleet->owned, request, now);
 	decision.deciding_host = fleet->peers->self;
 	return decision;
 }
@@ -116,14 +117,14 @@
 {
 	fleet->local_decisions++;
 	fleet->fallback.limit_ratio = 1.0 / peers_host_count(fleet->peers, now);
-	return decide(&fleet->fallback, request, now);
+	return admit_or_refuse(&fleet->fallback, request, now);
 }
 
 /* Ends a pending request; decided() may add new ones. */
 static void finish_request(quota_fleet_t *fleet, uint32_t index,
 			   const quota_decision_t *decision)
 {
-	uint64_t ticket = fleet->pending[index].req.ticket;
+	uint64_t ticket = fleet->pending[index].request.ticket;
 
 	fleet->pending[index] = fleet->pending[--fleet->pending_count];
 	fleet->ops->decided(fleet->context, ticket, decision);
@@ -133,12 +134,13 @@
 static uint32_t next_host(const quota_fleet_t *fleet,
 			  const quota_pending_t *pending, pimento_usec_t now)
 {
-	uint32_t owner = peers_owner(fleet->peers, pending->req.account);
+	uint32_t owner = peers_owner(fleet->peers, pending->request.account);
 	uint32_t successor;
 
 	if (owner != pending->sent_to && !is_unresponsive(fleet, owner, now))
 		return owner;
-	successor = peers_successor(fleet->peers, pending->req.account, owner);
+	successor =
+		peers_successor(fleet->peers, pending->request.account, owner);
 	if (successor != pending->sent_to &&
 	    !is_unresponsive(fleet, successor, now))
 		return successor;
@@ -170,17 +172,17 @@
 	if (address && address != fleet->peers->self) {
 		pending->sent_to = address;
 		pending->sent_at = now;
-		fleet->ops->send(fleet->context, address, &pending->req);
+		fleet->ops->send(fleet->context, address, &pending->request);
 		return false;
 	}
 	if (address)
 		decision = decide_as_owner(
-			fleet, &pending->req,
-			address !=
-				peers_owner(fleet->peers, pending->req.account),
+			fleet, &pending->request,
+			address != peers_owner(fleet->peers,
+					       pending->request.account),
 			now);
 	else
-		decision = decide_locally(fleet, &pending->req, now);
+		decision = decide_locally(fleet, &pending->request, now);
 	finish_request(fleet, index, &decision);
 	return true;
 }
@@ -209,14 +211,14 @@
 		return PIMENTO_ENOMEM;
 	fleet->requests++;
 	*pending = (quota_pending_t){
-		.req = { .kind = QUOTA_REQUEST,
-			 .address = fleet->peers->self,
-			 .account = (uint32_t)request->account,
-			 .ticket = request->ticket,
-			 .tokens = request->tokens,
-			 .tier = request->tier,
-			 .limit = request->limit,
-			 .version = request->version },
+		.request = { .kind = QUOTA_REQUEST,
+			     .address = fleet->peers->self,
+			     .account = (uint32_t)request->account,
+			     .ticket = request->ticket,
+			     .tokens = request->tokens,
+			     .tier = request->tier,
+			     .limit = request->limit,
+			     .version = request->version },
 		.requested_at = now,
 	};
 	(void)forward_or_decide(fleet, fleet->pending_count - 1, now);
@@ -226,7 +228,7 @@
 void quota_fleet_cancel(quota_fleet_t *fleet, uint64_t ticket)
 {
 	for (uint32_t i = 0; i < fleet->pending_count; i++)
-		if (fleet->pending[i].req.ticket == ticket) {
+		if (fleet->pending[i].request.ticket == ticket) {
 			fleet->pending[i] =
 				fleet->pending[--fleet->pending_count];
 			return;
@@ -278,7 +280,7 @@
 
 	mark_responsive(fleet, reply->address);
 	for (uint32_t i = 0; i < fleet->pending_count; i++)
-		if (fleet->pending[i].req.ticket == reply->ticket) {
+		if (fleet->pending[i].request.ticket == reply->ticket) {
 			finish_request(fleet, i, &decision);
 			return;
 		}
--- a/src/quota_fleet.h
+++ b/src/quota_fleet.h
@@ -58,7 +58,7 @@
 
 /* Request that waits for a decision. */
 typedef struct quota_pending {
-	quota_message_t req;
+	quota_message_t request;
 	pimento_usec_t requested_at;
 	/* time of the last send; 0: deferred, not sent yet */
 	pimento_usec_t sent_at;
--- a/src/quota_share.c
+++ b/src/quota_share.c
@@ -16,14 +16,14 @@
 /* Weight of a new request in the mean size of requests. */
 #define MEAN_TOKENS_WEIGHT 0.05
 
-static double seconds(pimento_usec_t span)
+static double to_seconds(pimento_usec_t span)
 {
 	return (double)span / (double)PIMENTO_SEC;
 }
 
 static double demand_decay(const quota_share_t *share, pimento_usec_t now)
 {
-	return exp(-seconds(now - share->demand_updated_at) /
+	return exp(-to_seconds(now - share->demand_updated_at) /
 		   DEMAND_DECAY_SECONDS);
 }
 
@@ -65,7 +65,7 @@
 			pimento_usec_t now)
 {
 	share->credit_max = per_second * CREDIT_MAX_SECONDS;
-	share->credit += per_second * seconds(now - share->refilled_at);
+	share->credit += per_second * to_seconds(now - share->refilled_at);
 	share->credit = fmin(share->credit, share->credit_max);
 	share->refilled_at = now;
 }
--- a/test/peers_sim.c
+++ b/test/peers_sim.c
@@ -45,9 +45,9 @@
 	peers_sim_host_t *h = &sim->hosts[host];
 
 	h->incarnation = pimento_random_next(&sim->random);
-	peers_init(&h->roster, peers_sim_address(host), h->incarnation);
+	peers_init(&h->peers, peers_sim_address(host), h->incarnation);
 	for (uint32_t i = 0; i < SEEDS; i++)
-		peers_add(&h->roster, peers_sim_address(i * sim->count / SEEDS),
+		peers_add(&h->peers, peers_sim_address(i * sim->count / SEEDS),
 			  true, sim->now);
 	h->up = true;
 	h->leaving = false;
@@ -57,7 +57,7 @@
 {
 	if (!sim->hosts[host].up)
 		return;
-	peers_finish(&sim->hosts[host].roster);
+	peers_finish(&sim->hosts[host].peers);
 	sim->hosts[host].up = false;
 }
 
@@ -106,7 +106,7 @@
 	    sim->hosts[to].partition != sim->hosts[from].partition ||
 	    pimento_random_unit(&sim->random) < sim->loss)
 		return;
-	peers_receive(&sim->hosts[to].roster, message, sim->now, confirmed_at);
+	peers_receive(&sim->hosts[to].peers, message, sim->now, confirmed_at);
 	for (uint32_t i = 0; sim->hosts[to].quota && i < message->quota_count;
 	     i++)
 		quota_apply_report(sim->hosts[to].quota,
@@ -121,7 +121,7 @@
 	gossip_message_t message = { 0 };
 	uint32_t address;
 
-	while (peers_next_probe(&sim->hosts[host].roster, &address, &message))
+	while (peers_next_probe(&sim->hosts[host].peers, &address, &message))
 		deliver(sim, host, &message, address);
 }
 
@@ -132,8 +132,8 @@
 	gossip_message_t message = { 0 };
 	uint32_t count;
 
-	peers_put_membership(&h->roster, &message);
-	count = peers_next_targets(&h->roster, sim->now, sim->targets, targets);
+	peers_put_membership(&h->peers, &message);
+	count = peers_next_targets(&h->peers, sim->now, sim->targets, targets);
 	for (uint32_t i = 0; i < count; i++)
 		deliver(sim, host, &message, targets[i]->address);
 }
@@ -150,7 +150,7 @@
 			if (!is_running(sim, &sim->hosts[i]))
 				continue;
 			if ((step + i) % PROBE_STEPS == 0) {
-				peers_tick(&sim->hosts[i].roster, sim->now);
+				peers_tick(&sim->hosts[i].peers, sim->now);
 				send_probes(sim, i);
 			}
 			if (sim->targets && (step + i) % GOSSIP_STEPS == 0)
@@ -173,7 +173,7 @@
 
 			if (!is_running(sim, &sim->hosts[i]))
 				continue;
-			seen = peers_owner(&sim->hosts[i].roster,
+			seen = peers_owner(&sim->hosts[i].peers,
 					   e * 0x9e3779b97f4a7c15u);
 			if (owner && seen != owner) {
 				disputed++;
@@ -191,7 +191,7 @@
 
 	/* one host with a wrong state shows that the hosts do not agree yet */
 	for (uint32_t i = 0; i < sim->count && !wrong; i++) {
-		const peers_t *peers = &sim->hosts[i].roster;
+		const peers_t *peers = &sim->hosts[i].peers;
 
 		for (uint32_t j = 0; j < sim->count; j++) {
 			const peers_sim_host_t *other = &sim->hosts[j];
--- a/test/peers_sim.h
+++ b/test/peers_sim.h
@@ -12,7 +12,7 @@
 #define PEERS_SIM_HOSTS_MAX 1000
 
 typedef struct peers_sim_host {
-	peers_t roster;
+	peers_t peers;
 	uint64_t incarnation;
 	bool up;
 	bool leaving;
--- a/test/quota_sim.c
+++ b/test/quota_sim.c
@@ -57,7 +57,7 @@
 	quota_fleet_setup_t setup = {
 		.ops = &ops,
 		.context = &sim->hosts[host],
-		.peers = &sim->peers.hosts[host].roster,
+		.peers = &sim->peers.hosts[host].peers,
 		.window = sim->window,
 		.first_start = is_first_start,
 	};
@@ -190,6 +190,6 @@
 	for (uint32_t i = 0; i < sim->peers.count; i++)
 		if (is_running(sim, i))
 			return peers_sim_host_index(peers_owner(
-				&sim->peers.hosts[i].roster, sim->account));
+				&sim->peers.hosts[i].peers, sim->account));
 	return 0;
 }
--- a/test/test_peers_fleet.c
+++ b/test/test_peers_fleet.c
@@ -80,10 +80,10 @@
 	start_all(&sim, sizes[_i].hosts, 3);
 	peers_sim_converge(&sim, sizes[_i].join_time);
 	peers_sim_run(&sim, PIMENTO_SEC);
-	before = (uint32_t)peers_owner_changes(&sim.hosts[1].roster);
+	before = (uint32_t)peers_owner_changes(&sim.hosts[1].peers);
 	sim.hosts[0].frozen_until = sim.now + 600 * PIMENTO_MSEC;
 	peers_sim_run(&sim, 5 * PIMENTO_SEC);
-	ck_assert_uint_eq(peers_owner_changes(&sim.hosts[1].roster), before);
+	ck_assert_uint_eq(peers_owner_changes(&sim.hosts[1].peers), before);
 	ck_assert_uint_eq(peers_sim_disputed_owners(&sim, ENDPOINTS), 0);
 	peers_sim_finish(&sim);
 }
@@ -117,7 +117,7 @@
 
 	start_all(&sim, sizes[_i].hosts, 5);
 	peers_sim_converge(&sim, sizes[_i].join_time);
-	peers_leave(&sim.hosts[0].roster, sim.now);
+	peers_leave(&sim.hosts[0].peers, sim.now);
 	sim.hosts[0].leaving = true;
 	ck_assert_int_lt(peers_sim_converge(&sim, 2 * PIMENTO_SEC),
 			 2 * PIMENTO_SEC);
@@ -141,12 +141,12 @@
 	start_all(&sim, hosts, 7);
 	join_time = peers_sim_converge(&sim, 20 * PIMENTO_SEC);
 	peers_sim_run(&sim, 2 * PIMENTO_SEC);
-	changes = peers_owner_changes(&sim.hosts[1].roster);
+	changes = peers_owner_changes(&sim.hosts[1].peers);
 	sim.measure_bytes = true;
 	sim.hosts[1].messages_sent = 0;
 	sim.hosts[1].bytes_sent = 0;
 	peers_sim_run(&sim, 10 * PIMENTO_SEC);
-	changes = peers_owner_changes(&sim.hosts[1].roster) - changes;
+	changes = peers_owner_changes(&sim.hosts[1].peers) - changes;
 	printf("%5u hosts: joined %5.0f ms, messages/s %5.1f, bytes/s %6.0f, "
 	       "owner changes in 10 s without faults %llu",
 	       hosts, ms(join_time), (double)sim.hosts[1].messages_sent / 10,
--- a/test/test_wait_queue.c
+++ b/test/test_wait_queue.c
@@ -14,9 +14,9 @@
 	queue = (wait_queue_t){ 0 };
 }
 
-static wait_queue_item_t item(uint64_t rank, pimento_usec_t arrived,
-			      pimento_usec_t overdue_at,
-			      pimento_usec_t expires_at)
+static wait_queue_item_t make_item(uint64_t rank, pimento_usec_t arrived,
+				   pimento_usec_t overdue_at,
+				   pimento_usec_t expires_at)
 {
 	return (wait_queue_item_t){ .rank = rank,
 				    .first_attempt_at = arrived,
@@ -27,9 +27,9 @@
 
 START_TEST(requests_are_ordered_by_urgency_then_age)
 {
-	wait_queue_item_t a = item(1, 10 * MS, 900 * MS, PIMENTO_SEC);
-	wait_queue_item_t b = item(0, 30 * MS, 900 * MS, PIMENTO_SEC);
-	wait_queue_item_t c = item(0, 20 * MS, 900 * MS, PIMENTO_SEC);
+	wait_queue_item_t a = make_item(1, 10 * MS, 900 * MS, PIMENTO_SEC);
+	wait_queue_item_t b = make_item(0, 30 * MS, 900 * MS, PIMENTO_SEC);
+	wait_queue_item_t c = make_item(0, 20 * MS, 900 * MS, PIMENTO_SEC);
 
 	wait_queue_push(&queue, &a);
 	wait_queue_push(&queue, &b);
@@ -80,8 +80,9 @@
  */
 START_TEST(overdue_requests_go_behind_timely_ones)
 {
-	wait_queue_item_t overdue_item = item(0, 0, 300 * MS, 900 * MS);
-	wait_queue_item_t timely_item = item(2, 350 * MS, 650 * MS, 900 * MS);
+	wait_queue_item_t overdue_item = make_item(0, 0, 300 * MS, 900 * MS);
+	wait_queue_item_t timely_item =
+		make_item(2, 350 * MS, 650 * MS, 900 * MS);
 
 	wait_queue_push(&queue, &overdue_item);
 	wait_queue_push(&queue, &timely_item);
@@ -109,7 +110,7 @@
 				       .expected_slot_time = 4 * PIMENTO_SEC };
 	wait_queue_item_t resumed = { 0 };
 	wait_queue_item_t newer =
-		item(0, 5000 * MS, 5300 * MS, 7 * PIMENTO_SEC);
+		make_item(0, 5000 * MS, 5300 * MS, 7 * PIMENTO_SEC);
 
 	wait_queue_set_times(&resumed, &timing);
 	resumed.overdue = true;
