--- a/src/claim.h
+++ b/src/claim.h
@@ -70,7 +70,11 @@
 	CLAIM_WON, /* the claim is granted: dispatch now */
 	CLAIM_NOT_RUN, /* a quorum sealed the attempt: it can never be dispatched */
 	CLAIM_MAY_HAVE_RUN, /* no quorum for the seal: the request may have run */
-	CLAIM_NO_QUORUM, /* too few witnesses answered a query, too few for a seal */
+	/*
+	 * fewer witnesses than a quorum answered the query, so that the attempt
+	 * cannot be sealed either
+	 */
+	CLAIM_NO_QUORUM,
 	CLAIM_EXPIRED, /* the key is older than the retention or from the future */
 	/*
 	 * The key was used with another request body. If claim->held.done is
@@ -91,14 +95,16 @@
 	uint64_t digest; /* hash of the request body */
 	/* first of CLAIM_SEQUENCES_MAX sequence numbers unique on this host */
 	uint64_t sequence;
-	pimento_usec_t timeout; /* of a step, up to CLAIM_STEP_TIMEOUT_MAX */
+	/* time limit of each protocol step, at most CLAIM_STEP_TIMEOUT_MAX */
+	pimento_usec_t timeout;
 } claim_options_t;
 
 /* What one witness last reported about the key. */
 typedef struct claim_report {
 	uint32_t sealed; /* highest sealed attempt, 0 if none */
-	uint32_t attempt; /* attempt of the claim held there, 0 if none */
-	bool done; /* the outcome of that claim's dispatch is known */
+	/* attempt of the claim that the witness holds, 0 if none */
+	uint32_t attempt;
+	bool done; /* the outcome of the claim's dispatch is known */
 	pimento_reqid_t dispatch_id;
 } claim_report_t;
 
@@ -167,7 +173,7 @@
 pimento_usec_t claim_deadline(const claim_t *claim);
 
 typedef struct witness_options {
-	uint64_t incarnation; /* of this process, not 0 */
+	uint64_t incarnation; /* incarnation of this process, not 0 */
 	uint32_t capacity; /* maximum number of keys in the table */
 	pimento_usec_t retention; /* maximum age of an accepted key */
 	pimento_usec_t started; /* time at which this process started */
@@ -198,7 +204,8 @@
 	uint32_t bucket_count; /* number of hash buckets, a power of two */
 	uint32_t count; /* number of records in the table */
 	size_t answer_bytes; /* total size of the answers kept in records */
-	witness_record_t *oldest; /* records in order of their last change */
+	/* ends of a list of all records in order of their last change */
+	witness_record_t *oldest;
 	witness_record_t *newest;
 } witness_t;
 
@@ -257,7 +264,10 @@
 uint32_t idem_key_eligible_hosts(const hostlist_t *list, pimento_id_t *hosts,
 				 uint32_t max);
 
-/* Like idem_key_select_witnesses(), for a sorted array of eligible hosts. */
+/*
+ * Selects the witnesses of a key by rendezvous hash over a sorted array of
+ * eligible hosts. Returns 0 or PIMENTO_ENOQUORUM if these are too few.
+ */
 int idem_key_rendezvous(const pimento_id_t *hosts, uint32_t count,
 			pimento_key_t key, witness_set_t *witnesses);
 
--- a/src/message.h
+++ b/src/message.h
@@ -41,7 +41,8 @@
 	uint64_t epoch; /* ownership epoch of the endpoint; rises */
 	uint32_t running; /* requests in flight */
 	uint32_t limit; /* requests that may be in flight */
-	uint32_t running_tokens; /* tokens that they still have to generate */
+	/* answer tokens that the running requests still have to generate */
+	uint32_t running_tokens;
 	uint32_t token_limit; /* maximum of running_tokens */
 	uint32_t waiting[PIMENTO_TIERS_MAX]; /* queued requests by tier */
 	/* estimated wait of one more request in ms, by tier */
@@ -163,7 +164,8 @@
 typedef struct message_claim {
 	uint8_t op; /* claim_op_t */
 	pimento_key_t key;
-	uint64_t sequence; /* of the protocol step; copied to the reply */
+	/* number of the protocol step; the reply repeats it */
+	uint64_t sequence;
 	/* incarnation of the witness that an issued key names; else 0 */
 	uint64_t incarnation;
 	/* hash of the witness set of a key that a caller chose; else 0 */
@@ -180,7 +182,8 @@
 	uint64_t incarnation; /* incarnation of the witness */
 	int32_t result; /* PIMENTO_OK, _ECLAIMED, _ESEALED, _ESTALE, ... */
 	uint32_t sealed; /* highest sealed attempt, 0 if none */
-	uint32_t attempt; /* attempt of the claim held there, 0 if none */
+	/* attempt of the claim that the witness holds, 0 if none */
+	uint32_t attempt;
 	message_dispatch_t dispatch; /* dispatch that holds the claim */
 } message_witness_t;
 
@@ -202,7 +205,7 @@
 } message_fact_t;
 
 /*
- * Probes and acks carry the same: the sender's state and the facts that it
+ * A probe or an ack; both carry the sender's state and the facts that it
  * knows. A probe with a target asks the receiver to probe the target on the
  * sender's behalf.
  */
@@ -248,7 +251,7 @@
 typedef struct message_part {
 	uint8_t subject; /* config_sync_subject_t */
 	uint64_t revision;
-	/* revision that the changes apply to; 0: parts of the complete text */
+	/* revision to which the changes apply; 0: the parts are of a complete text */
 	uint64_t base;
 	uint64_t digest; /* hash of the complete text */
 	uint32_t size; /* bytes of all parts together */
--- a/src/packet.c
+++ b/src/packet.c
@@ -24,7 +24,7 @@
 {
 	if (age < 0 || age / PIMENTO_MSEC + 1 >= AGE_MS_UNKNOWN)
 		return AGE_MS_UNKNOWN;
-	/* Rounded up, so that data never appear fresher than they are. */
+	/* Ages are rounded up, so that data never appear fresher than they are. */
 	return (uint32_t)(age / PIMENTO_MSEC) + 1;
 }
 
--- a/src/packet.h
+++ b/src/packet.h
@@ -33,7 +33,8 @@
 typedef struct packet_slot_release {
 	uint32_t endpoint; /* low half of the endpoint's key */
 	uint32_t address; /* address of the host that releases the slot */
-	uint64_t ticket; /* ticket of the slot request; 0: outcome only */
+	/* ticket of the slot request; 0: reports an outcome, frees no slot */
+	uint64_t ticket;
 	uint32_t gap_us; /* mean gap of the stream's events; 0 if unknown */
 	latency_outcome_t outcome;
 } packet_slot_release_t;
@@ -42,7 +43,8 @@
 typedef struct packet_running_report {
 	uint32_t endpoint; /* low half of the endpoint's key */
 	uint32_t address; /* address of the reporting host */
-	uint32_t running; /* that host's requests in flight there */
+	/* requests that the host has in flight at the endpoint */
+	uint32_t running;
 } packet_running_report_t;
 
 typedef struct packet {
--- a/test/test_claim_random.c
+++ b/test/test_claim_random.c
@@ -712,7 +712,7 @@
  */
 static const uint64_t regression_seeds[] = {
 	24, /* an attempt that the caller named was raised */
-	132, /* a quorum of 3 of 5, too few if two host lists differ */
+	132, /* a quorum of 3 of 5 witnesses, too small if two hosts' lists differ */
 	135, /* a full table evicted an unexpired record */
 	274, /* a witness answered for a set that its own list does not select */
 	17318, /* a witness answered for keys older than its host list */
