--- a/src/grants.h
+++ b/src/grants.h
@@ -76,7 +76,7 @@
 	uint32_t endpoint;
 	/* time of the last slot request from any host */
 	pimento_usec_t requested_at;
-	/* sum of running over all entries of foreign */
+	/* sum of grants_foreign_t.running over all hosts */
 	uint32_t foreign_running;
 	uint32_t granted;
 	uint32_t waiting;
--- a/src/limit.c
+++ b/src/limit.c
@@ -29,8 +29,8 @@
 #define BEST_DECAY 0.9999
 #define REQUESTS_DECREASE 0.8
 /*
- * Factor, applied at most once per TOKENS_INCREASE_INTERVAL: an engine full of
- * tokens costs much.
+ * Factor by which the token limit grows, at most once per
+ * TOKENS_INCREASE_INTERVAL. Small, as an engine full of tokens costs much.
  */
 #define TOKENS_INCREASE 1.01
 #define TOKENS_INCREASE_INTERVAL (30 * PIMENTO_SEC)
@@ -40,14 +40,15 @@
 /* Share of a limit in use from which on the limit counts as reached. */
 #define LIMIT_USED_MIN 0.75
 #define REQUESTS_DECREASE_INTERVAL (1 * PIMENTO_SEC)
-/* Weight of a new sample: single service times scatter widely. */
+/* Weight of a new service time in the mean; single times scatter widely. */
 #define SERVICE_SAMPLE_WEIGHT 0.05
-/* Samples before the mean is compared with its minimum. */
+/* Service times measured before their mean is compared with its minimum. */
 #define SERVICE_SAMPLES_MIN 40
 #define SERVICE_FACTOR_MAX 3.0
-#define DEFAULT_PREFILL_RATE 4000.0 /* tokens/s, assumed until learnt */
+/* Tokens per second, assumed until a rate is measured. */
+#define DEFAULT_PREFILL_RATE 4000.0
 #define DEFAULT_DECODE_RATE 30.0
-#define DEFAULT_SERVICE_S 0.05 /* seconds, assumed until learnt */
+#define DEFAULT_SERVICE_S 0.05 /* seconds per answer, assumed until measured */
 
 void limit_init(limit_t *limit, config_target_t target, uint32_t concurrency)
 {
--- a/src/limit.h
+++ b/src/limit.h
@@ -17,15 +17,15 @@
 	double request_limit;
 	/* learnt limit of prompt and answer tokens in flight; 0: none yet */
 	double token_limit;
-	/* decaying sum of prompt tokens, over first-token samples */
+	/* decaying sums of prompt tokens and of the time taken to read them */
 	double prefill_tokens;
 	double prefill_seconds;
 	double token_gap; /* seconds between tokens of one stream, 0: unknown */
-	/* recent minimum of the gap, as while no prompt is read */
+	/* recent minimum of token_gap: the gap while no prompt is read */
 	double token_gap_min;
 	/* recent maximum of the prefill rate, tokens/s */
 	double prefill_rate_max;
-	/* mean seconds of a plain service's answer, 0: unknown */
+	/* mean time of a plain service's answers in seconds, 0: unknown */
 	double service_mean;
 	double service_min; /* recent minimum of service_mean */
 	uint32_t service_samples; /* samples in service_mean */
@@ -45,17 +45,19 @@
 } limit_load_t;
 
 /*
- * A request's first token came after span. tokens counts its prompt and all
- * prompts that were ahead of it at the endpoint.
+ * Learns from a request whose first token came the given span after its
+ * dispatch. tokens counts its prompt and all prompts that were ahead of it at
+ * the endpoint.
  */
 void limit_observe_first_token(limit_t *limit, pimento_usec_t now,
 			       uint32_t tokens, pimento_usec_t span,
 			       const limit_load_t *load);
 
 /*
- * A request has no first token after span. Returns true, and lowers the token
- * limit, if the span is so long that the request cannot be in the engine's
- * batch: the engine's memory is full of tokens.
+ * Checks a request that has no first token the given span after its dispatch.
+ * Returns true, and lowers the token limit, if the span is so long that the
+ * request cannot be in the engine's batch: the engine's memory is full of
+ * tokens.
  */
 bool limit_check_first_token(limit_t *limit, pimento_usec_t now,
 			     uint32_t tokens, pimento_usec_t span,
@@ -64,40 +66,40 @@
 /* True if this many prompt and answer tokens may be in flight. */
 bool limit_tokens_fit(const limit_t *limit, uint64_t tokens);
 
-/* One stream generated this many tokens more within span. */
+/* Learns the token gap from a stream that generated tokens within a span. */
 void limit_observe_decode(limit_t *limit, uint32_t tokens, pimento_usec_t span);
 
-/* A plain service answered after span while load was in flight. */
+/* Learns from the time that a plain service took to answer under a load. */
 void limit_observe_service(limit_t *limit, pimento_usec_t now,
 			   pimento_usec_t span, const limit_load_t *load);
 
-/*
- * The endpoint failed a request that it had accepted: lowers the request limit.
- */
+/* Lowers the request limit after an endpoint failed an accepted request. */
 void limit_observe_failure(limit_t *limit, pimento_usec_t now);
 
-/*
- * Prompt tokens per second, and answer tokens per second of one stream; 0:
- * unknown.
- */
+/* Prompt tokens that the engine reads per second; 0: unknown. */
 double limit_prefill_rate(const limit_t *limit);
+/* Answer tokens per second of one stream; 0: unknown. */
 double limit_decode_rate(const limit_t *limit);
 
 /* Number of requests that may be in flight, at least 1. */
 uint32_t limit_requests(const limit_t *limit);
 
 /*
- * Time to read a prompt with ahead prompt tokens queued before it, and time to
- * generate an answer of this many tokens while the engine reads no prompt.
- * Default rates are assumed until samples have come.
+ * Expected time until the engine has read a prompt of this many tokens, with
+ * other prompts queued before it whose tokens add up to the parameter ahead. A
+ * default rate is assumed until answers have been measured.
  */
 pimento_usec_t limit_prefill_span(const limit_t *limit, uint32_t ahead,
 				  uint32_t prompt);
+/*
+ * Expected time to generate an answer of this many tokens while the engine
+ * reads no prompt. A default rate is assumed until answers have been measured.
+ */
 pimento_usec_t limit_decode_span(const limit_t *limit, uint32_t answer);
 
 /*
- * Time from dispatch to the complete answer, with ahead prompt tokens queued
- * before the request.
+ * Expected time from the dispatch of a request to its complete answer. The
+ * parameter ahead is the number of prompt tokens queued before the request.
  */
 pimento_usec_t limit_answer_span(const limit_t *limit, uint32_t ahead,
 				 uint32_t prompt, uint32_t answer);
--- a/src/owner.h
+++ b/src/owner.h
@@ -41,8 +41,9 @@
  */
 #define OWNER_HOPS_FINAL 255
 /*
- * The same, but the owner refuses in any case: the endpoint is kept free of
- * long prompts.
+ * Value of message_reserve_t.hops of a final attempt at an endpoint that is
+ * kept free of long prompts: as OWNER_HOPS_FINAL, but the owner refuses the
+ * request in any case.
  */
 #define OWNER_HOPS_SHED_ONLY 254
 #define OWNER_TIER_FLOOR_SPAN (200 * PIMENTO_MSEC)
--- a/src/prompt_mix.c
+++ b/src/prompt_mix.c
@@ -15,7 +15,11 @@
 
 #define HALF_LIFE (60 * PIMENTO_SEC)
 #define DECAY_INTERVAL (200 * PIMENTO_MSEC)
-/* Share of the work below which no endpoint is set apart. */
+/*
+ * Share of the work of all long prompts. A tier with less long-prompt work
+ * counts as one without long prompts. If short prompts bring less work than
+ * this share, no endpoint is kept free for them.
+ */
 #define WORK_SHARE_MIN 0.01
 
 void prompt_mix_init(prompt_mix_t *mix)
--- a/src/prompt_mix.h
+++ b/src/prompt_mix.h
@@ -13,9 +13,11 @@
 #define PROMPT_MIX_TARGETS_MAX 32
 
 typedef struct prompt_mix_target {
-	pimento_id_t name; /* hash of the target's name; 0: entry unused */
-	/* work of requests with short prompts, in seconds, decaying */
+	/* hash of the target's name; 0: the entry is unused */
+	pimento_id_t name;
+	/* seconds of work of requests with short prompts, by tier, decaying */
 	double short_work[PIMENTO_TIERS_MAX];
+	/* seconds of work of requests with long prompts, by tier, decaying */
 	double long_work[PIMENTO_TIERS_MAX];
 	pimento_usec_t decayed_at;
 } prompt_mix_target_t;
@@ -36,7 +38,10 @@
 void prompt_mix_record(prompt_mix_target_t *target, pimento_usec_t now,
 		       uint8_t tier, double work, bool is_long);
 
-/* Least urgent tier that has long prompts, 0 if none has. */
+/*
+ * Returns the least urgent tier with a noticeable share of the long prompts, 0
+ * if no tier has any.
+ */
 uint8_t
 prompt_mix_last_tier_with_long_prompts(const prompt_mix_target_t *target);
 
--- a/src/queue.h
+++ b/src/queue.h
@@ -16,7 +16,7 @@
 	uint8_t tier;
 	pimento_id_t account;
 	pimento_usec_t deadline;
-	/* endpoint time that the request is expected to use */
+	/* endpoint time that the request is expected to use, see limit_work() */
 	pimento_usec_t work;
 	uint32_t earliest_index; /* index in the heap queue_flow_t.earliest */
 	uint32_t latest_index; /* index in the heap queue_flow_t.latest */
--- a/src/reservation.h
+++ b/src/reservation.h
@@ -24,7 +24,10 @@
 	owner_endpoint_t *endpoint;
 	reservation_state_t state;
 	pimento_usec_t granted_at;
-	/* latest start; end of the grant's lifetime; end of the lease */
+	/*
+	 * while waiting, the latest start; when granted, the end of the grant's
+	 * lifetime; when running, the end of the lease
+	 */
 	pimento_usec_t due;
 	/* unread prompt tokens of earlier requests when this one was granted */
 	uint32_t prefill_ahead;
--- a/src/route.c
+++ b/src/route.c
@@ -17,14 +17,14 @@
 #define EWMA_KEEP 0.8 /* weight of the old value in the moving average */
 #define FAILED_AVOID_SPAN (2 * PIMENTO_SEC)
 #define MEASURED_SPAN (30 * PIMENTO_SEC)
-#define PREFIX_TABLE_SIZE 4096 /* entries, a power of two */
+#define PREFIX_TABLE_SIZE 4096 /* number of entries, a power of two */
 #define PREFIX_LIFETIME (300 * PIMENTO_SEC)
 /* Share of a prompt with a known prefix that is assumed to be cached. */
 #define PREFIX_CACHED_SHARE 0.5
 /* Tokens/s, assumed until a rate is known. */
 #define DEFAULT_PREFILL_RATE 4000.0
 #define DEFAULT_DECODE_RATE 30.0
-#define DEFAULT_SERVICE_S 0.05 /* seconds, assumed until measured */
+#define DEFAULT_SERVICE_S 0.05 /* seconds per answer, assumed until measured */
 #define OWNER_CHANGES_MAX 4
 #define JITTER 0.05
 #define BEST_DECAY 0.9999
@@ -51,14 +51,14 @@
 	pimento_id_t target_id;
 	uint32_t concurrency;
 	uint32_t context_tokens;
-	/* latest from the owner; epoch 0: none received */
+	/* latest summary from the owner; its epoch is 0 if none was received */
 	message_summary_t summary;
 	/* recent maximum of the owner's reported rate, tokens/s */
 	double prefill_rate_max;
 	double decode_rate_max;
 	double prefill; /* rate measured by this entry, tokens/s, 0: unknown */
 	double decode;
-	/* measured time of a plain service's answer, 0: unknown */
+	/* measured time of a plain service's answer in seconds, 0: unknown */
 	double service_seconds;
 	pimento_usec_t measured_at;
 	/* seconds of work that this entry sent since the summary */
--- a/src/route.h
+++ b/src/route.h
@@ -36,7 +36,7 @@
 	uint32_t prompt_tokens;
 	uint32_t answer_tokens;
 	uint64_t prefix;
-	/* endpoints that have refused this request */
+	/* endpoints whose owners have refused this request */
 	const pimento_id_t *avoid;
 	uint32_t avoid_count;
 } route_query_t;
