--- a/src/client_timeout.h
+++ b/src/client_timeout.h
@@ -12,8 +12,8 @@
 
 typedef struct client_timeout {
 	/*
-	 * longest time left that a request of the route has stated; 0 none
-	 * yet
+	 * longest time left that any request of the route has stated; 0: none
+	 * stated yet
 	 */
 	pimento_usec_t longest_seen;
 } client_timeout_t;
--- a/src/latency.c
+++ b/src/latency.c
@@ -17,7 +17,7 @@
  */
 #define GAP_WEIGHT 0.02
 #define SERVICE_GAP_WEIGHT 0.002
-/* Weights of the mean gap of a stream of some ten events. */
+/* Weights of a stream's mean gap, for a stream of some ten events. */
 #define GAP_MEAN_WEIGHT 0.15
 #define SERVICE_GAP_MEAN_WEIGHT 0.02
 #define FIRST_EVENT_WEIGHT 0.1
@@ -31,7 +31,7 @@
  */
 #define P90_MEAN_ERRORS 2.0
 
-/* Decayed number of samples from which the fitted slope is used. */
+/* The fitted slope is used from this decayed number of samples on. */
 #define REGRESSION_SAMPLES_MIN 12.0
 /*
  * Sum of squared deviations of x up to which the samples are too close together
@@ -63,13 +63,13 @@
 
 /*
  * Closed connections and failed answers in a row, over all hosts, after which
- * an endpoint counts as unreachable: each frees its slot at once and draws in
- * the next request.
+ * an endpoint counts as unreachable: each frees its slot at once, which then
+ * gets the next request.
  */
 #define EJECT_CONSECUTIVE_ERRORS 4
 /*
- * Accepted probability of that many errors in a row at an endpoint that fails
- * no more often than its service.
+ * Accepted probability that an endpoint which fails no more often than its
+ * service is ejected for its errors in a row.
  */
 #define EJECT_FALSE_POSITIVE_RATE 0.01
 
--- a/src/latency.h
+++ b/src/latency.h
@@ -20,8 +20,10 @@
 	double failure_rate;
 	/* ejections as unreachable since the last answer */
 	uint32_t consecutive_unreachable;
-	uint32_t consecutive_errors; /* resets and failures in a row */
-	pimento_usec_t ejected_until; /* gets no new requests before that */
+	/* reset connections and failed answers in a row */
+	uint32_t consecutive_errors;
+	/* time until which the endpoint gets no new requests */
+	pimento_usec_t ejected_until;
 } latency_model_t;
 
 /* Linear regression y = base + slope * x over exponentially decayed sums. */
@@ -31,7 +33,7 @@
 
 /* Model of a whole service, to which its endpoints are compared. */
 typedef struct latency_service {
-	/* mean gap between events of all its streams; 0 unknown */
+	/* mean gap between events over all streams of the service; 0 unknown */
 	double event_gap_us;
 	double failure_rate;
 	/* x: log of the tokens expected by the caller, y: log of the events */
@@ -41,7 +43,7 @@
 	 * endpoint's slowness
 	 */
 	latency_regression_t first_event_by_prompt;
-	/* mean absolute error of that regression; 0 unknown */
+	/* mean absolute error of first_event_by_prompt; 0 unknown */
 	double first_event_error_us;
 } latency_service_t;
 
@@ -68,14 +70,15 @@
 			  latency_service_t *service, pimento_usec_t gap);
 /*
  * Adds the time to the first event of an answer. prompt_tokens counts the
- * request's own prompt and those that the engine had to process before it.
+ * request's own prompt and the prompts that the engine had to process before
+ * it.
  */
 void latency_add_first_event(latency_model_t *latency_model,
 			     latency_service_t *service, pimento_usec_t span,
 			     uint32_t prompt_tokens);
 /*
- * Adds the number of events of a complete stream, of which expected_tokens
- * were expected.
+ * Adds the number of events of a complete stream, and the length in tokens that
+ * its caller had stated.
  */
 void latency_add_length(latency_service_t *service, uint32_t expected_tokens,
 			uint32_t events);
@@ -99,8 +102,9 @@
 /* Name of an outcome for reports, such as "answers" or "breaks"; never NULL. */
 const char *latency_outcome_name(latency_outcome_t outcome);
 /*
- * Ejects the endpoint if an outcome, of this host or another, gives reason
- * to.
+ * Ejects the endpoint if the outcome of a request, sent by this host or
+ * another, shows that it is full or unreachable, or is one error too many in a
+ * row.
  */
 void latency_update_ejection(latency_model_t *latency_model,
 			     const latency_service_t *service,
@@ -113,14 +117,17 @@
 bool latency_endpoint_is_failing(const latency_model_t *latency_model,
 				 const latency_service_t *service);
 
-/* Mean gap of the endpoint divided by its service's mean gap; 1 unknown. */
+/*
+ * Mean gap between the endpoint's events divided by that of its service; 1
+ * while either is unknown.
+ */
 double latency_slowness(const latency_model_t *latency_model,
 			const latency_service_t *service);
 /* Expected time to the first event if no other prompt waits at the endpoint. */
 double latency_expected_first_event(const latency_model_t *latency_model,
 				    const latency_service_t *service,
 				    uint32_t prompt_tokens);
-/* 90th percentile of the time to the first event. */
+/* Estimated 90th percentile of the time to the first event. */
 double latency_p90_first_event(const latency_model_t *latency_model,
 			       const latency_service_t *service,
 			       uint32_t prompt_tokens);
@@ -129,10 +136,12 @@
 double latency_expected_gap(const latency_model_t *latency_model,
 			    const latency_service_t *service);
 /*
- * Expected events of an answer of which the caller expects expected_tokens; 0
- * unknown. Estimates far from the usual length are mostly wrong: half of those
- * of ten times the usual length are. The regression in logarithms is therefore
- * flatter than one to one, and is fitted to the observed lengths.
+ * Number of events to expect in an answer whose caller states expected_tokens
+ * as its length; 0: unknown. Callers' estimates far from the usual length are
+ * mostly wrong: half of the estimates of ten times the usual length are. So the
+ * logarithm of the number of events is fitted to that of the estimate by a
+ * regression, which follows the observed lengths and is flatter than one to
+ * one.
  */
 double latency_expected_events(const latency_service_t *service,
 			       uint32_t expected_tokens);
--- a/src/placement.c
+++ b/src/placement.c
@@ -17,8 +17,9 @@
 #define ENGINE_EXTRA_IN_FLIGHT 1
 
 /*
- * Requests in flight at a plain service beyond its slots. Its answers are
- * short, so that more slots fall free during that time than at an engine.
+ * Requests in flight at a plain service beyond its slots. Its answers are short,
+ * so that more slots fall free than at an engine while a report and the next
+ * request are on their way.
  */
 #define PLAIN_EXTRA_IN_FLIGHT 3
 
@@ -32,23 +33,24 @@
  * and would look idle; a longer wait at another endpoint is preferable.
  */
 #define UNREACHABLE_COST 5.0
-/* Added cost ratio of each request in the endpoint's wait queue. */
+/* Fraction added to the cost for each request in the endpoint's wait queue. */
 #define QUEUED_COST 0.3
-/* Largest random addition to the cost, as a ratio. */
+/* Largest fraction that is added to the cost at random. */
 #define RANDOM_COST 0.15
 /*
- * Added cost ratio of an endpoint in another data centre, for the latency and
- * the traffic between data centres.
+ * Fraction added to the cost of an endpoint in another data centre, for the
+ * latency and the traffic between data centres.
  */
 #define REMOTE_DATACENTRE_COST 0.3
 /*
- * Added cost ratio of a new connection: it takes a round trip, and endpoints
- * limit the number of connections.
+ * Fraction added to the cost if a new connection is needed: it takes a round
+ * trip, and endpoints limit the number of connections.
  */
 #define CONNECT_COST 1.2
 /*
- * Added cost ratio at a failure rate of 1. Endpoints that fail look fast, while
- * a failure costs the whole request.
+ * Fraction added to the cost at a failure rate of 1, and in proportion at lower
+ * rates. Endpoints that fail look fast, while a failure costs the whole
+ * request.
  */
 #define FAILING_COST 6.0
 /* Callers' estimates of the answer's length are often off by this factor. */
@@ -163,7 +165,7 @@
 	double gap =
 		latency_expected_gap(&endpoint->latency, &service->latency);
 
-	/* an overdue request probes whether the gaps are still long */
+	/* overdue requests are let through: they show if the gaps are still long */
 	return !request->gap_objective || request->overdue ||
 	       gap * GAP_MARGIN <= (double)request->gap_objective;
 }
@@ -263,12 +265,12 @@
 /* State of the search over the endpoints. */
 typedef struct choice {
 	registry_endpoint_t *best;
-	double cost; /* cost of best */
-	/* ejected, with no request of this host in flight */
+	double cost; /* placement_cost() of best */
+	/* an ejected endpoint where this host has no request in flight */
 	registry_endpoint_t *ejected_idle;
-	bool any_untried; /* an endpoint is left that was not tried */
-	bool any_not_ejected; /* one of those left is not ejected */
-	/* best fit of an endpoint that is not ejected, full or not */
+	bool any_untried; /* there is a usable endpoint that was not tried */
+	bool any_not_ejected; /* one of the untried endpoints is not ejected */
+	/* best fit among the endpoints that are not ejected, full or not */
 	fit_t best_fit;
 } choice_t;
 
--- a/src/placement.h
+++ b/src/placement.h
@@ -15,8 +15,8 @@
 typedef struct placement_request {
 	pimento_id_t service;
 	uint32_t prompt_tokens;
-	uint32_t answer_tokens; /* expected by the caller; 0 unknown */
-	/* until time-out of the caller or the route */
+	uint32_t answer_tokens; /* length that the caller expects; 0 unknown */
+	/* time until the caller or the route times out */
 	pimento_usec_t time_left;
 	/*
 	 * objective for the time from arrival to the start of the answer; 0
@@ -40,7 +40,7 @@
 	/* endpoints whose wait queues hold the request */
 	const pimento_id_t *queued_at;
 	uint32_t queued_at_count;
-	/* also consider full endpoints, to wait in the queue of the best */
+	/* also consider full endpoints; the request would wait in the queue there */
 	bool may_queue;
 	/* random, so that hosts with equal views choose different endpoints */
 	uint64_t random_bits;
@@ -66,9 +66,9 @@
 
 /*
  * True if a slot that was granted at the endpoint is to be used: the request
- * fits well there, or no better at any other endpoint. The owner's report that
- * comes with the grant may be the first information that this host has about
- * the endpoint's speed.
+ * fits this endpoint well, or fits no other endpoint better. Checked at the
+ * grant, as the owner's report that comes with it may be the first information
+ * that this host has about the endpoint's speed.
  */
 bool placement_accepts_grant(registry_t *registry,
 			     const placement_request_t *request,
--- a/src/quota.c
+++ b/src/quota.c
@@ -37,9 +37,9 @@
 #define TARGET_LEVEL_RATIO 0.8
 #define TARGET_REACH_SECONDS 2.0
 #define RATE_CORRECTION_MAX 0.5
-/* Fraction of the bucket that is reserved for more urgent requests. */
+/* Largest fraction of the bucket that is reserved for more urgent requests. */
 #define URGENT_RESERVE_RATIO 0.2
-/* Older reports are not forwarded. */
+/* Reports of bucket levels that are older than this are not forwarded. */
 #define REPORT_AGE_MAX (2 * PIMENTO_SEC)
 
 void quota_init(quota_t *quota, pimento_usec_t window, bool first_start)
@@ -127,7 +127,7 @@
 static void init_level(const quota_t *quota, quota_usage_t *usage,
 		       pimento_usec_t now)
 {
-	/* within one window a report of any owner would have arrived */
+	/* an account in use would have been reported within one window */
 	bool known = quota->first_start || usage->reported_at ||
 		     now - quota->started_at > quota->window;
 
@@ -144,7 +144,7 @@
 	usage->level -= to_seconds(now - usage->drained_at) *
 			drain_rate(quota, usage->limit);
 	usage->drained_at = now;
-	/* admissions by another owner are only known from its reports */
+	/* tokens that another owner admitted are only known from its reports */
 	usage->level =
 		fmax(usage->level, drained_report_level(quota, usage, now));
 }
@@ -245,8 +245,8 @@
 }
 
 /*
- * Makes the report of an account to gossip; false if there is no recent
- * level.
+ * Fills in the report of an account for a gossip message. Returns false if the
+ * account has no recent level.
  */
 static bool make_report(const quota_t *quota, quota_usage_t *usage,
 			pimento_usec_t now, quota_report_t *report)
--- a/src/quota.h
+++ b/src/quota.h
@@ -24,23 +24,24 @@
 
 typedef struct quota_usage {
 	uint32_t account; /* low half of the account's key */
-	quota_limit_t limit; /* as last configured */
+	quota_limit_t limit; /* limit in the newest configuration seen */
 	uint64_t version; /* version of the configuration that sets the limit */
 	double level; /* tokens in the bucket: used and not yet drained */
-	bool initialised; /* level has its initial value */
+	bool initialised; /* the first request has set the initial level */
 	pimento_usec_t drained_at; /* when level was last drained */
-	/* time of the last request, admitted or not; 0 never */
+	/* time of the last request, admitted or refused; 0: none yet */
 	pimento_usec_t requested_at;
-	/* divides the rate by tier while the account is scarce */
+	/* divides the drain rate among the tiers while the account is scarce */
 	quota_share_t share;
 	double reported_level; /* level in the newest report of another host */
 	pimento_usec_t reported_at; /* time of that report; 0 none */
 } quota_usage_t;
 
 typedef struct quota {
-	/* the system starts for the first time: nothing was used before */
+	/* the whole system starts for the first time: no quota was used before */
 	bool first_start;
-	pimento_usec_t window; /* window for which the operator states limits */
+	/* length of the window over which the operator limits tokens */
+	pimento_usec_t window;
 	/* time of the first request or report; 0 none */
 	pimento_usec_t started_at;
 	/* fraction of each quota limit that this host may admit, (0, 1] */
@@ -68,8 +69,8 @@
 		uint32_t tier, double tokens, pimento_usec_t now);
 
 /*
- * Returns the tokens of an admitted request that was rejected later and has
- * not run.
+ * Puts back into an account's quota the tokens of an admitted request that was
+ * rejected later and has not run.
  */
 void quota_refund(quota_t *quota, pimento_id_t account, double tokens);
 
@@ -81,16 +82,17 @@
 double quota_level(const quota_t *quota, pimento_id_t account);
 
 /*
- * Applies a report of the level at a time. A host that becomes the owner
- * continues from the reported level.
+ * Stores the level of an account's bucket that another host reported, as it was
+ * at the time at; ignored if a newer report is stored. A host that becomes the
+ * account's owner continues from the reported level.
  */
 void quota_apply_report(quota_t *quota, uint32_t account, double level,
 			pimento_usec_t at);
 
 /*
- * Fills in at most max reports to gossip, in turn over the accounts: levels of
- * accounts for which this host admits requests, and recent reports of other
- * hosts. Returns the number of reports.
+ * Fills in at most max reports for a gossip message: levels of the accounts for
+ * which this host admits requests, and recent reports of other hosts.
+ * Successive calls go round all accounts. Returns the number of reports.
  */
 uint32_t quota_collect_reports(quota_t *quota, quota_report_t *reports,
 			       uint32_t max, pimento_usec_t now);
--- a/src/quota_fleet.c
+++ b/src/quota_fleet.c
@@ -13,7 +13,8 @@
  */
 #define DISCOVERY_DEFER_MAX (400 * PIMENTO_MSEC)
 /*
- * Fraction of a limit that a host admits if it is asked but is not the owner.
+ * Fraction of an account's limit that a host admits when it decides requests in
+ * place of the account's owner.
  */
 #define NON_OWNER_LIMIT_RATIO 0.5
 /* Hosts lost within this time may be alive across a network partition. */
@@ -284,7 +285,7 @@
 			finish_request(fleet, i, &decision);
 			return;
 		}
-	/* the request was cancelled, or another host answered it first */
+	/* not pending: it was cancelled, or another host answered it first */
 	if (reply->admitted)
 		quota_fleet_refund(fleet, reply->address, reply->account,
 				   reply->tokens);
--- a/src/quota_fleet.h
+++ b/src/quota_fleet.h
@@ -25,7 +25,7 @@
 	quota_message_kind_t kind;
 	uint32_t address; /* address of the sender */
 	uint32_t account; /* low half of the account's key */
-	uint64_t ticket; /* chosen by the requesting host */
+	uint64_t ticket; /* id of the request, chosen by the requesting host */
 	double tokens;
 	uint32_t tier;
 	quota_limit_t limit;
@@ -39,7 +39,7 @@
 typedef struct quota_decision {
 	bool admitted;
 	pimento_usec_t retry_after;
-	/* level of the account's bucket at the deciding host, in tokens */
+	/* tokens in the account's bucket at the deciding host */
 	double level;
 	/* host that counted the request; 0: counted in this host's own share */
 	uint32_t deciding_host;
@@ -71,7 +71,7 @@
 
 typedef struct quota_fleet_unresponsive {
 	uint32_t address;
-	pimento_usec_t until; /* the host is bypassed until then */
+	pimento_usec_t until; /* time until which the host is bypassed */
 } quota_fleet_unresponsive_t;
 
 typedef struct quota_fleet {
@@ -126,8 +126,8 @@
 void quota_fleet_cancel(quota_fleet_t *fleet, uint64_t ticket);
 
 /*
- * Returns the tokens of an admitted request that has not run; deciding_host is
- * the one of its decision.
+ * Puts back into an account's quota the tokens of an admitted request that has
+ * not run. deciding_host is taken from the request's quota_decision_t.
  */
 void quota_fleet_refund(quota_fleet_t *fleet, uint32_t deciding_host,
 			pimento_id_t account, double tokens);
@@ -136,8 +136,8 @@
 			 pimento_usec_t now);
 
 /*
- * Sends deferred requests, and those that were not answered in time to another
- * host. Call some 20 times a second.
+ * Sends deferred requests, and sends requests that were not answered in time to
+ * another host. Call some 20 times a second.
  */
 void quota_fleet_tick(quota_fleet_t *fleet, pimento_usec_t now);
 
--- a/src/quota_share.c
+++ b/src/quota_share.c
@@ -9,9 +9,12 @@
  */
 #define DEMAND_DECAY_SECONDS 3.0
 
-/* Credit that may accumulate, in seconds of its rate. */
+/* Maximum credit, in seconds of the rate at which it accrues. */
 #define CREDIT_MAX_SECONDS 0.5
-/* Seconds of more urgent tiers' demand that less urgent requests leave. */
+/*
+ * Credit that less urgent requests leave unused, in seconds of the more urgent
+ * tiers' demand.
+ */
 #define RESERVE_SECONDS 1.0
 /* Weight of a new request in the mean size of requests. */
 #define MEAN_TOKENS_WEIGHT 0.05
@@ -27,7 +30,7 @@
 		   DEMAND_DECAY_SECONDS);
 }
 
-/* Tokens per second requested lately by the most urgent tiers. */
+/* Tokens per second requested lately by the given number of urgent tiers. */
 static double first_tiers_demand(const quota_share_t *share, uint32_t tiers,
 				 pimento_usec_t now)
 {
--- a/src/quota_share.h
+++ b/src/quota_share.h
@@ -32,7 +32,10 @@
 /* Tokens per second requested lately, over all tiers. */
 double quota_share_demand(const quota_share_t *share, pimento_usec_t now);
 
-/* Adds credit at this rate since the last call; call before each decision. */
+/*
+ * Adds the credit that has accrued at this rate since the last call; call
+ * before each decision.
+ */
 void quota_share_refill(quota_share_t *share, double per_second,
 			pimento_usec_t now);
 
@@ -51,7 +54,7 @@
 bool quota_share_spend(quota_share_t *share, uint32_t tier, double tokens,
 		       pimento_usec_t now);
 
-/* Returns tokens that were spent and not used. */
+/* Adds to the credit the tokens of a request that was admitted but not run. */
 void quota_share_refund(quota_share_t *share, double tokens);
 
 #endif
--- a/src/retry_budget.h
+++ b/src/retry_budget.h
@@ -14,7 +14,8 @@
 typedef struct retry_budget_limits {
 	pimento_usec_t window;
 	double ratio; /* retries per request */
-	double slack; /* retries of all hosts together, on top of the ratio */
+	/* retries of all hosts together in a window, on top of the ratio */
+	double slack;
 } retry_budget_limits_t;
 
 typedef struct retry_budget {
--- a/src/wait_queue.c
+++ b/src/wait_queue.c
@@ -34,12 +34,12 @@
  */
 #define SLOT_TIME_WEIGHT 1.0
 
-/* Bounds of the retry time of rejected callers, before it is spread. */
+/* Bounds of the retry time of rejected callers, before its random spread. */
 #define RETRY_AFTER_MIN (200 * PIMENTO_MSEC)
 #define RETRY_AFTER_MAX (5 * PIMENTO_SEC)
 /*
- * Callers that were rejected before return too, so that the queue is only a
- * part of the load that is ahead of a retry.
+ * Callers that were rejected earlier retry as well, so that the queue is only a
+ * part of the load that comes before a retry.
  */
 #define RETRY_AFTER_BACKLOG_FACTOR 2.5
 
--- a/src/wait_queue.h
+++ b/src/wait_queue.h
@@ -57,9 +57,10 @@
 	pimento_usec_t expected_latency;
 	/* expected time from a free slot to the end of the answer */
 	pimento_usec_t expected_slot_time;
-	/* longest acceptable gap of a stream; 0: the answer is no stream */
+	/* longest acceptable gap between events; 0: the answer is no stream */
 	pimento_usec_t gap_objective;
-	pimento_usec_t deadline; /* caller's deadline or route's timeout */
+	/* time when the caller or the route times out */
+	pimento_usec_t deadline;
 } wait_queue_timing_t;
 
 void wait_queue_set_times(wait_queue_item_t *item,
--- a/test/quota_sim.h
+++ b/test/quota_sim.h
@@ -17,7 +17,7 @@
 
 typedef struct quota_sim_host {
 	quota_fleet_t fleet;
-	/* requests that arrived while it was down or frozen, by tier */
+	/* requests that arrived while the host was down or frozen, by tier */
 	uint32_t unsent_requests[QUOTA_SIM_TIERS];
 } quota_sim_host_t;
 
@@ -32,11 +32,11 @@
 	uint32_t step;
 	/* position of the host that gets the next request */
 	uint32_t next_host;
-	/* load that does not yet fill a request, by tier */
+	/* tokens of load, by tier, that are still too few for one request */
 	double unsent_tokens[QUOTA_SIM_TIERS];
 	/*
-	 * last ticket: a multiple of QUOTA_SIM_TIERS, to which the tier is
-	 * added
+	 * last multiple of QUOTA_SIM_TIERS used for a ticket; a request's
+	 * ticket is this number plus the request's tier
 	 */
 	uint64_t ticket;
 	double admitted[QUOTA_SIM_STEPS_MAX]; /* tokens admitted in each step */
@@ -51,12 +51,12 @@
 void quota_sim_finish(quota_sim_t *sim);
 
 void quota_sim_kill(quota_sim_t *sim, uint32_t host);
-/* is_first_start: the whole system starts for the first time. */
+/* Starts a host; is_first_start: the whole system starts for the first time. */
 void quota_sim_start(quota_sim_t *sim, uint32_t host, bool is_first_start);
 
 /*
- * Runs one step with a load of rate_multiple times the account's rate in each
- * tier.
+ * Runs one step of QUOTA_SIM_STEP_MS. rate_multiple holds the load of each tier
+ * in multiples of the account's rate.
  */
 void quota_sim_step(quota_sim_t *sim,
 		    const double rate_multiple[QUOTA_SIM_TIERS]);
--- a/test/test_quota.c
+++ b/test/test_quota.c
@@ -31,7 +31,8 @@
 static const struct {
 	const char *name;
 	bool first_start;
-	double reported_level; /* tokens in an earlier report; 0 no report */
+	/* level in another host's report, in tokens; 0: no report */
+	double reported_level;
 	double reported_s_ago; /* age of the report in seconds */
 	double up_s; /* seconds since the host's first report of any account */
 	double admitted_min; /* tokens admitted at one time */
@@ -83,7 +84,7 @@
 	quota_init(&quota, WINDOW, true);
 	quota_apply_report(&quota, 5, 1000, NOW - PIMENTO_SEC);
 	quota_apply_report(&quota, 5, 9000,
-			   NOW - 2 * PIMENTO_SEC); /* older than the first */
+			   NOW - 2 * PIMENTO_SEC); /* older: must be ignored */
 	ck_assert_uint_eq(quota_collect_reports(&quota, reports, 4, NOW), 1);
 	ck_assert_double_eq(reports[0].level, 1000);
 	ck_assert_int_eq(reports[0].age, PIMENTO_SEC);
--- a/test/test_quota_fleet.c
+++ b/test/test_quota_fleet.c
@@ -52,8 +52,10 @@
 	uint32_t hosts;
 	/* tokens requested over all hosts, in multiples of the rate */
 	double load;
-	double refused_ratio_max; /* of the tokens requested after the kill */
-	double admitted_ratio_min; /* of rate * time after the kill */
+	/* largest share of the tokens requested after the kill that is refused */
+	double refused_ratio_max;
+	/* least tokens admitted after the kill, as a share of rate * time */
+	double admitted_ratio_min;
 } cases[] = {
 	{ "half the rate at 87 hosts", 87, 0.5, 0.05, 0.45 },
 	{ "0.9 times the rate at 87 hosts", 87, 0.9, 0.15, 0.75 },
@@ -126,7 +128,7 @@
 	KILL_OWNER,
 	FREEZE_OWNER,
 	PARTITION_HOSTS, /* a quarter of the hosts is cut off from the others */
-	LOWER_LIMIT /* to a half; the owner is killed as well */
+	LOWER_LIMIT /* the rate is halved and the owner is killed */
 } fault_t;
 
 enum { FAULT_AT_S = 10, FAULT_FOR_S = 10, FAULT_RUN_S = 28 };
@@ -134,9 +136,10 @@
 static const struct {
 	const char *name;
 	uint32_t hosts;
-	double load; /* in multiples of the rate */
+	double load; /* tokens requested, in multiples of the rate */
 	fault_t fault;
-	double min_ratio; /* of the rate, admitted over the whole run */
+	/* least tokens admitted in the whole run, as a share of rate * time */
+	double min_ratio;
 } fault_cases[] = {
 	{ "0.95 times the rate, no fault", 8, 0.95, NO_FAULT, 0.94 },
 	{ "four times the rate, no fault", 8, 4, NO_FAULT, 1.0 },
@@ -199,7 +202,7 @@
 	check_quota(fault_cases[_i].name);
 	inject_fault(fault_cases[_i].fault);
 	if (fault_cases[_i].fault == LOWER_LIMIT) {
-		/* a lower limit is only met one window after the change */
+		/* admissions comply with a lowered limit only one window later */
 		step_ms(FAULT_FOR_S * 1000, load);
 		memset(sim.admitted, 0, sizeof(sim.admitted));
 	} else {
@@ -224,10 +227,14 @@
 
 static const struct {
 	const char *name;
-	/* load over all hosts, in multiples of the rate */
+	/* tokens requested over all hosts, in multiples of the rate */
 	double rate_multiple;
-	double min_ratio; /* of the rate, in each second from STEADY_FROM_S */
-	double max_ratio; /* of the rate, in the same seconds */
+	/*
+	 * bounds of the tokens admitted in each second from STEADY_FROM_S on,
+	 * in multiples of the rate
+	 */
+	double min_ratio;
+	double max_ratio;
 } surge_cases[] = {
 	{ "1.5 times the rate", 1.5, 0.5, 1.6 },
 	{ "five times the rate", 5, 0.5, 1.7 },
@@ -252,16 +259,14 @@
 }
 END_TEST
 
-/*
- * Load of each tier in multiples of the account's rate, the least ratio of the
- * most urgent tier that is admitted, and the greatest of the least urgent.
- */
 static const struct {
 	const char *name;
 	uint32_t hosts;
+	/* tokens requested by each tier, in multiples of the account's rate */
 	double rate_multiples[QUOTA_SIM_TIERS];
-	double min_ratio; /* admitted of the tokens that tier 0 requests */
-	/* admitted of the tokens that the last tier requests */
+	/* least share of the most urgent tier's tokens that is admitted */
+	double min_ratio;
+	/* largest share of the least urgent tier's tokens that is admitted */
 	double max_ratio;
 } tier_cases[] = {
 	{ "tier 0 alone fits, 8 hosts", 8, { 0.7, 1.4, 1.4 }, 0.9, 0.25 },
