--- a/io/mesh.c
+++ b/io/mesh.c
@@ -424,7 +424,7 @@
 	for (uint32_t i = 0; i < roster->count; i++) {
 		const peer_t *peer = roster->list[(start + i) % roster->count];
 
-		if (peers_is_current(peer, now) &&
+		if (peers_has_current_report(peer, now) &&
 		    peer->revisions[fetch->kind] > revision)
 			return peer;
 	}
--- a/src/config_sync.c
+++ b/src/config_sync.c
@@ -181,8 +181,8 @@
 	outbox_put(config_sync->out, doc->fetch.from, &message);
 }
 
-static void record_source(config_sync_document_t *doc, pimento_id_t host,
-			  uint64_t revision)
+static void record_document_source(config_sync_document_t *doc,
+				   pimento_id_t host, uint64_t revision)
 {
 	source_t *oldest = &doc->sources[0];
 
@@ -342,7 +342,7 @@
 	record_peer(config_sync, from);
 	if (revision <= newest_revision(doc) || find_rejection(doc, revision))
 		return;
-	record_source(doc, from, revision);
+	record_document_source(doc, from, revision);
 	if (!doc->fetch.revision)
 		fetch_start(config_sync, now, subject, from, revision);
 }
--- a/src/member_table.c
+++ b/src/member_table.c
@@ -18,7 +18,7 @@
 #define ANTI_ENTROPY_FACTS 2 /* rotating facts on each message */
 #define VERSION_MAX (1U << 30) /* facts with a higher version are malformed */
 
-uint32_t member_log2(uint32_t n)
+uint32_t member_count_log2(uint32_t n)
 {
 	uint32_t bits = 1;
 
@@ -164,7 +164,8 @@
 	if (!member->sends_left)
 		m->pending_updates++;
 	member->sends_left =
-		(uint8_t)(UPDATE_SENDS * member_log2(m->probe_order_count + 1));
+		(uint8_t)(UPDATE_SENDS *
+			  member_count_log2(m->probe_order_count + 1));
 }
 
 void member_set_liveness(membership_t *m, pimento_usec_t now, member_t *member,
--- a/src/member_table.h
+++ b/src/member_table.h
@@ -39,7 +39,7 @@
 	bool incarnation_mismatch;
 };
 
-uint32_t member_log2(uint32_t n); /* bit length of n, at least 1 */
+uint32_t member_count_log2(uint32_t n); /* bit length of n, at least 1 */
 
 member_t *member_find(const membership_t *m, pimento_id_t id);
 member_t *member_self(const membership_t *m);
--- a/src/membership.c
+++ b/src/membership.c
@@ -286,7 +286,8 @@
 static pimento_usec_t suspicion_timeout(const membership_t *m)
 {
 	return (pimento_usec_t)SUSPICION_PERIODS *
-	       member_log2(m->probe_order_count + 1) * m->options.probe_period;
+	       member_count_log2(m->probe_order_count + 1) *
+	       m->options.probe_period;
 }
 
 static void mark_suspect(membership_t *m, pimento_usec_t now, pimento_id_t id)
--- a/src/peers.c
+++ b/src/peers.c
@@ -383,7 +383,7 @@
 		now - peers->last_added_at < DISCOVERY_IDLE);
 }
 
-bool peers_is_current(const peer_t *peer, pimento_usec_t now)
+bool peers_has_current_report(const peer_t *peer, pimento_usec_t now)
 {
 	return peer->seen && now - peer->last_seen < REPORT_MAX_AGE;
 }
@@ -483,7 +483,7 @@
 	for (uint32_t i = 0; i < peers->count; i++) {
 		const peer_t *peer = peers->list[i];
 
-		if (!peers_is_current(peer, now))
+		if (!peers_has_current_report(peer, now))
 			continue;
 		for (uint32_t j = 0; j < peer->load_count; j++) {
 			if (peer->loads[j].endpoint != sum.endpoint)
--- a/src/peers.h
+++ b/src/peers.h
@@ -213,7 +213,7 @@
  * True if the peer's last message is recent enough for its load report to
  * count.
  */
-bool peers_is_current(const peer_t *peer, pimento_usec_t now);
+bool peers_has_current_report(const peer_t *peer, pimento_usec_t now);
 
 /*
  * Sum of the load that peers with current reports have in flight at an
