--- a/io/control.c
+++ b/io/control.c
@@ -401,7 +401,7 @@
 	log_line(LOG_LEVEL_DEBUG, "entry", "refused a request: %s, %s",
 		 pimento_strerror(action->error),
 		 pimento_verdict_name(action->verdict));
-	if (burn_error_counts(action->error))
+	if (burn_counts_as_bad(action->error))
 		count_answer(control, call, false);
 	call_refuse(call, action);
 	forget_call(control, call);
--- a/src/burn.c
+++ b/src/burn.c
@@ -106,7 +106,7 @@
 		   interval_at(now, BURN_COARSE_STEP_S), good);
 }
 
-bool burn_error_counts(int error)
+bool burn_counts_as_bad(int error)
 {
 	switch (error) {
 	case PIMENTO_EINVAL:
--- a/src/burn.h
+++ b/src/burn.h
@@ -72,7 +72,7 @@
  * caller caused do not: it disconnected or sent a request that can never be
  * served.
  */
-bool burn_error_counts(int error);
+bool burn_counts_as_bad(int error);
 
 /*
  * Requests of a tier counted in the given number of seconds before now; both
--- a/src/burn_page.c
+++ b/src/burn_page.c
@@ -40,7 +40,7 @@
 	snprintf(to, size, "%.2f %%", objective * 100);
 }
 
-static void add_row(const burn_report_t *report, strbuf_t *text)
+static void add_text_row(const burn_report_t *report, strbuf_t *text)
 {
 	const burn_count_t *day = &report->windows[BURN_WINDOWS - 1];
 	char cell[32];
@@ -64,7 +64,7 @@
 		strbuf_addf(text, " %8s", window_names[i]);
 	strbuf_addf(text, " %12s %12s  %s\n", "GOOD 24 h", "ALL 24 h", "STATE");
 	for (uint32_t i = 0; i < count; i++)
-		add_row(&reports[i], text);
+		add_text_row(&reports[i], text);
 	if (!count)
 		strbuf_addf(text, "no requests counted so far\n");
 }
@@ -84,12 +84,12 @@
 }
 
 /* Left edge of a bucket's bar; the newest bucket (age 0) is rightmost. */
-static double bucket_x(int age)
+static double age_to_x(int age)
 {
 	return PLOT_LEFT + (BURN_COARSE_BUCKETS - 1 - age) * BAR_WIDTH;
 }
 
-static double value_y(double value, double axis_max)
+static double value_to_y(double value, double axis_max)
 {
 	double part = value < axis_max ? value / axis_max : 1;
 
@@ -147,8 +147,8 @@
 	strbuf_addf(text,
 		    "<rect class=\"%s\" x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" "
 		    "height=\"%.1f\"/>\n",
-		    style, bucket_x(age), value_y(to, axis_max), BAR_WIDTH,
-		    value_y(from, axis_max) - value_y(to, axis_max));
+		    style, age_to_x(age), value_to_y(to, axis_max), BAR_WIDTH,
+		    value_to_y(from, axis_max) - value_to_y(to, axis_max));
 }
 
 static void add_requests(const burn_report_t *report, strbuf_t *text)
@@ -205,10 +205,10 @@
 	strbuf_addf(text,
 		    "<line class=\"budget\" x1=\"%d\" y1=\"%.1f\" x2=\"%.1f\" "
 		    "y2=\"%.1f\"/>\n",
-		    PLOT_LEFT, value_y(1, axis_max), PLOT_LEFT + PLOT_WIDTH,
-		    value_y(1, axis_max));
+		    PLOT_LEFT, value_to_y(1, axis_max), PLOT_LEFT + PLOT_WIDTH,
+		    value_to_y(1, axis_max));
 	strbuf_addf(text, "<text x=\"%.1f\" y=\"%.1f\">1</text>\n",
-		    PLOT_LEFT + PLOT_WIDTH + 4, value_y(1, axis_max) + 4);
+		    PLOT_LEFT + PLOT_WIDTH + 4, value_to_y(1, axis_max) + 4);
 	add_axes(axis_max, "burn rate over 5 min", text);
 	strbuf_addf(text, "</svg>\n");
 }
--- a/src/config.c
+++ b/src/config.c
@@ -160,8 +160,8 @@
 	       !strcmp(contract->account, account->name);
 }
 
-static bool matches_call(const config_contract_t *contract, const char *method,
-			 const char *path)
+static bool contract_matches_call(const config_contract_t *contract,
+				  const char *method, const char *path)
 {
 	if (contract->method[0] &&
 	    (!method || strcmp(contract->method, method) != 0))
@@ -180,7 +180,7 @@
 
 		if (matches_target(contract, account, name, target,
 				   target_name) &&
-		    matches_call(contract, method, path))
+		    contract_matches_call(contract, method, path))
 			return contract;
 	}
 	return NULL;
--- a/src/config_parse.c
+++ b/src/config_parse.c
@@ -183,7 +183,7 @@
 static const fields_list_t endpoint_list =
 	TABLE_ARRAY(endpoint, raw_endpoint_t, 1, ENDPOINTS_MAX);
 
-static int read_lists(parser_t *parser)
+static int read_table_arrays(parser_t *parser)
 {
 	const struct {
 		const fields_list_t *list;
@@ -348,7 +348,7 @@
  * a caller could select the repeatable one for a call that must not be repeated,
  * and the call could run twice.
  */
-static void check_repeat_conflicts(const parser_t *parser)
+static void check_overlapping_contracts(const parser_t *parser)
 {
 	for (uint32_t i = 0; i < parser->contract_count; i++) {
 		const config_contract_t *a = &parser->contracts[i].contract;
@@ -436,7 +436,7 @@
 				   e->target_name);
 }
 
-static int check_unique(const parser_t *parser)
+static int check_unique_values(const parser_t *parser)
 {
 	const pimento_config_t *config = parser->config;
 	const struct {
@@ -590,7 +590,7 @@
 
 static int check_document(parser_t *parser)
 {
-	int error = check_unique(parser);
+	int error = check_unique_values(parser);
 
 	if (!error)
 		error = check_addresses(parser);
@@ -606,7 +606,7 @@
 	for (uint32_t i = 0; i < parser->contract_count; i++)
 		check_contract(parser, i);
 	check_contract_names(parser);
-	check_repeat_conflicts(parser);
+	check_overlapping_contracts(parser);
 	return PIMENTO_OK;
 }
 
@@ -620,7 +620,7 @@
 	parser->toplevel.retention = RETENTION_DEFAULT_S * PIMENTO_SEC;
 	fields_read(&parser->source, parser->root, "", toplevel_fields,
 		    COUNT(toplevel_fields), &parser->toplevel);
-	error = read_lists(parser);
+	error = read_table_arrays(parser);
 	if (error)
 		return error;
 	error = check_document(parser);
--- a/src/explain.c
+++ b/src/explain.c
@@ -88,8 +88,8 @@
  * Copies the value of a key=value pair of a log line to value, truncated to fit;
  * "" if the line does not have the key.
  */
-static void get_value(const char *line, const char *key,
-		      char value[VALUE_MAX_BYTES])
+static void get_log_value(const char *line, const char *key,
+			  char value[VALUE_MAX_BYTES])
 {
 	size_t length = strlen(key);
 	const char *at = line;
@@ -115,7 +115,7 @@
 {
 	char value[VALUE_MAX_BYTES];
 
-	get_value(line, "id", value);
+	get_log_value(line, "id", value);
 	return strcmp(value, id) == 0;
 }
 
@@ -149,18 +149,18 @@
 		append_line(explain, line);
 }
 
-static double line_time(const char *line)
+static double parse_line_time(const char *line)
 {
 	char value[VALUE_MAX_BYTES];
 
-	get_value(line, "at", value);
+	get_log_value(line, "at", value);
 	return strtod(value, NULL);
 }
 
 static int compare_line_times(const void *a, const void *b)
 {
-	double x = line_time(*(char *const *)a);
-	double y = line_time(*(char *const *)b);
+	double x = parse_line_time(*(char *const *)a);
+	double y = parse_line_time(*(char *const *)b);
 
 	return x < y ? -1 : x > y;
 }
@@ -173,9 +173,9 @@
 	char host[VALUE_MAX_BYTES];
 	const char *meaning;
 
-	get_value(last, "why", why);
-	get_value(last, "event", event);
-	get_value(last, "host", host);
+	get_log_value(last, "why", why);
+	get_log_value(last, "event", event);
+	get_log_value(last, "host", host);
 	meaning = explain_reason(why);
 	strbuf_addf(text, "%s at %s: %s (%s)\n", event, host,
 		    meaning ? meaning : "unknown reason", why);
--- a/src/questionnaire.c
+++ b/src/questionnaire.c
@@ -152,7 +152,7 @@
 		       : 0;
 }
 
-static int read_lists(parser_t *parser)
+static int read_table_arrays(parser_t *parser)
 {
 	questionnaire_t *a = parser->questionnaire;
 	const struct {
@@ -175,7 +175,7 @@
 	return error;
 }
 
-static int check_unique(const parser_t *parser)
+static int check_unique_values(const parser_t *parser)
 {
 	const questionnaire_t *a = parser->questionnaire;
 	const struct {
@@ -234,7 +234,8 @@
 	return false;
 }
 
-static bool may_send(const questionnaire_request_t *request, uint32_t caller)
+static bool caller_may_send(const questionnaire_request_t *request,
+			    uint32_t caller)
 {
 	if (request->all_callers)
 		return true;
@@ -256,7 +257,8 @@
 	else if (caller < 0)
 		ADD_PROBLEM(parser, "request", index, "from",
 			    "no caller is named \"%s\"", name);
-	else if (!request->all_callers && may_send(request, (uint32_t)caller))
+	else if (!request->all_callers &&
+		 caller_may_send(request, (uint32_t)caller))
 		ADD_PROBLEM(parser, "request", index, "from",
 			    "\"%s\" is listed twice", name);
 	else
@@ -322,8 +324,8 @@
 		     e->target_name);
 }
 
-static bool context_fits(const questionnaire_endpoint_t *endpoint,
-			 uint32_t tokens)
+static bool tokens_fit_context(const questionnaire_endpoint_t *endpoint,
+			       uint32_t tokens)
 {
 	return !endpoint->context_tokens || endpoint->context_tokens >= tokens;
 }
@@ -348,7 +350,7 @@
 		    strcmp(e->target_name, r->target_name) != 0)
 			continue;
 		if (r->target == CONFIG_TARGET_SERVICE ||
-		    context_fits(e, tokens))
+		    tokens_fit_context(e, tokens))
 			return;
 		target_found = true;
 	}
@@ -416,7 +418,7 @@
 			    const questionnaire_request_t *b)
 {
 	for (uint32_t i = 0; i < questionnaire->caller_count; i++)
-		if (may_send(a, i) && may_send(b, i))
+		if (caller_may_send(a, i) && caller_may_send(b, i))
 			return true;
 	return false;
 }
@@ -437,7 +439,7 @@
  * config_parse.c does for contracts: a call that must not be repeated could be
  * sent as one that may, and run twice.
  */
-static void check_repeat_conflicts(const parser_t *parser)
+static void check_overlapping_requests(const parser_t *parser)
 {
 	const questionnaire_t *questionnaire = parser->questionnaire;
 
@@ -509,7 +511,7 @@
 static int check_document(parser_t *parser)
 {
 	questionnaire_t *questionnaire = parser->questionnaire;
-	int error = check_unique(parser);
+	int error = check_unique_values(parser);
 
 	for (uint32_t i = 0; i < questionnaire->request_count && !error; i++)
 		error = read_request_callers(parser, i);
@@ -521,7 +523,7 @@
 		check_endpoint(parser, i);
 	for (uint32_t i = 0; i < questionnaire->request_count; i++)
 		check_request(parser, i);
-	check_repeat_conflicts(parser);
+	check_overlapping_requests(parser);
 	check_contract_count(parser);
 	return PIMENTO_OK;
 }
@@ -533,7 +535,7 @@
 
 	fields_read(&parser->source, parser->root, "", toplevel_fields,
 		    COUNT(toplevel_fields), parser->questionnaire);
-	error = read_lists(parser);
+	error = read_table_arrays(parser);
 	if (error)
 		return error;
 	error = check_document(parser);
--- a/src/questionnaire_generate.c
+++ b/src/questionnaire_generate.c
@@ -65,7 +65,8 @@
 	return 0;
 }
 
-static pimento_usec_t key_retention(const questionnaire_t *questionnaire)
+static pimento_usec_t
+idempotency_key_retention(const questionnaire_t *questionnaire)
 {
 	pimento_usec_t longest = RETENTION_MIN;
 
@@ -130,7 +131,8 @@
 	strbuf_addf(text, "deployment = \"%s\"\n", questionnaire->deployment);
 	strbuf_addf(text, "body_max = %u\n", max_body_bytes(questionnaire));
 	strbuf_addf(text, "retention_s = %lld\n",
-		    (long long)(key_retention(questionnaire) / PIMENTO_SEC));
+		    (long long)(idempotency_key_retention(questionnaire) /
+				PIMENTO_SEC));
 }
 
 static void add_tiers(const questionnaire_t *questionnaire, strbuf_t *text)
--- a/test/test_burn.c
+++ b/test/test_burn.c
@@ -110,7 +110,7 @@
 
 START_TEST(client_errors_do_not_use_error_budget)
 {
-	ck_assert_int_eq(burn_error_counts(error_cases[_i].error),
+	ck_assert_int_eq(burn_counts_as_bad(error_cases[_i].error),
 			 error_cases[_i].counts);
 }
 END_TEST
--- a/test/test_config.c
+++ b/test/test_config.c
@@ -55,7 +55,7 @@
 	return parse_length(text, strlen(text));
 }
 
-static void finish(void)
+static void free_parse_results(void)
 {
 	problems_finish(&problems);
 	pimento_config_finish(&config);
@@ -80,7 +80,7 @@
 	ck_assert_int_eq(config.contracts[1].timeout, 4 * PIMENTO_SEC);
 	ck_assert_uint_eq(config.endpoint_count, 2);
 	ck_assert_uint_ne(config.digest, 0);
-	finish();
+	free_parse_results();
 }
 END_TEST
 
@@ -167,7 +167,7 @@
 		      "%u errors, expected %u:\n%s", problems.count,
 		      rejected[_i].count, problems.text);
 	ck_assert_mem_eq(&config, &empty, sizeof(empty));
-	finish();
+	free_parse_results();
 }
 END_TEST
 
@@ -180,10 +180,10 @@
 							   strlen(COMPLETE)),
 		 COMPLETE);
 	ck_assert_msg(!parse(text), "%s", problems.text);
-	finish();
+	free_parse_results();
 	text[strlen(text) - 1] = ' ';
 	ck_assert_int_eq(parse(text), PIMENTO_EPARSE);
-	finish();
+	free_parse_results();
 }
 END_TEST
 
@@ -221,10 +221,10 @@
 		text[i] = unit[i % step];
 	ck_assert_int_eq(parse_length(text, CONFIG_MAX_BYTES),
 			 malformed[_i].error);
-	finish();
+	free_parse_results();
 	ck_assert_int_eq(parse_length(text, CONFIG_MAX_BYTES + 1),
 			 PIMENTO_ETOOBIG);
-	finish();
+	free_parse_results();
 	free(text);
 }
 END_TEST
@@ -243,11 +243,11 @@
 
 		text[at] = (char)pimento_random_next(&random);
 		parse_length(text, round % 2 ? length : cut);
-		finish();
+		free_parse_results();
 		text[at] = kept;
 	}
 	ck_assert_int_eq(parse_length("a = \"\0\"", 7), PIMENTO_EPARSE);
-	finish();
+	free_parse_results();
 }
 END_TEST
 
@@ -269,7 +269,7 @@
 	memset(hash, 1, sizeof(hash));
 	hash[31] = 0;
 	ck_assert_ptr_null(pimento_config_find_account(&config, hash));
-	finish();
+	free_parse_results();
 }
 END_TEST
 
@@ -305,7 +305,7 @@
 		calls[_i].target, calls[_i].target_name, calls[_i].method,
 		calls[_i].path);
 	ck_assert_pstr_eq(found ? found->name : NULL, calls[_i].found);
-	finish();
+	free_parse_results();
 }
 END_TEST
 
@@ -327,7 +327,7 @@
 	ck_assert_uint_eq(endpoint->port, 7201);
 	ck_assert(endpoint->fencing);
 	ck_assert_ptr_null(pimento_config_find_endpoint(&config, 5));
-	finish();
+	free_parse_results();
 }
 END_TEST
 
