--- a/src/member_table.c
+++ b/src/member_table.c
@@ -217,8 +217,8 @@
 }
 
 /*
- * A member that is leaving and also suspect or dead takes two facts, which the
- * receiver merges.
+ * Appends the member's state to the message. A member that is leaving and also
+ * suspect or dead is described by two facts, which the receiver merges.
  */
 void member_put_facts(message_probe_t *p, const member_t *member)
 {
--- a/src/member_table.h
+++ b/src/member_table.h
@@ -24,7 +24,7 @@
 	pimento_usec_t last_seen;
 	/* 0: known only by its address or from the host list */
 	uint32_t version;
-	/* pauses of this host when the member's last ack was counted */
+	/* membership_t.pauses when the member's last ack was counted */
 	uint32_t acked_pause;
 	/* last message that carried the member's state */
 	uint32_t last_message;
@@ -39,7 +39,8 @@
 	bool incarnation_mismatch;
 };
 
-uint32_t member_count_log2(uint32_t n); /* bit length of n, at least 1 */
+/* Returns the bit length of n, at least 1. */
+uint32_t member_count_log2(uint32_t n);
 
 member_t *member_find(const membership_t *m, pimento_id_t id);
 member_t *member_self(const membership_t *m);
--- a/src/membership.h
+++ b/src/membership.h
@@ -86,8 +86,8 @@
 
 	bool fresh;
 	/*
-	 * peers or the platform have answered since the pause; fresh once the
-	 * reported revisions are in force
+	 * peers or the platform have answered since the last pause; this host
+	 * is fresh again once the reported revisions are in force as well
 	 */
 	bool confirmed;
 	pimento_usec_t resumed_at;
--- a/src/peers.c
+++ b/src/peers.c
@@ -400,8 +400,9 @@
 }
 
 /*
- * Returns the number of known pollers; *first receives the number of those that
- * precede this host.
+ * Returns the number of hosts known to have polled the platform within
+ * REPORT_MAX_AGE, and stores in *first how many of them precede this host in
+ * the order of the hashes of their addresses.
  */
 static uint32_t count_pollers(const peers_t *peers, pimento_usec_t now,
 			      uint32_t *first)
