--- a/src/burn.c
+++ b/src/burn.c
@@ -20,8 +20,8 @@
  * Thresholds of the burn rate. A rate of 1 uses up the error budget of a period
  * in exactly that period.
  */
-#define BURN_RATE_FAST 14.4 /* 2 % of a month's error budget in 1 h */
-#define BURN_RATE_SLOW 6.0 /* 5 % of a month's error budget in 6 h */
+#define BURN_RATE_FAST 14.4 /* uses up 2 % of a month's error budget in 1 h */
+#define BURN_RATE_SLOW 6.0 /* uses up 5 % of a month's error budget in 6 h */
 #define BURN_RATE_SPENT 1.0
 
 /* With fewer bad requests in a window, its burn rate is not significant. */
@@ -80,7 +80,7 @@
 
 static int64_t interval_at(pimento_usec_t now, int64_t step)
 {
-	/* counted from 1: 0 labels a bucket that was never used */
+	/* intervals are numbered from 1; 0 marks a bucket never used */
 	return now / (step * PIMENTO_SEC) + 1;
 }
 
--- a/src/burn.h
+++ b/src/burn.h
@@ -37,7 +37,8 @@
 } burn_count_t;
 
 typedef struct burn_bucket {
-	int64_t interval; /* label: time divided by the ring's step, plus 1 */
+	/* time divided by the ring's step, plus 1; 0 if never used */
+	int64_t interval;
 	uint32_t good;
 	uint32_t total;
 } burn_bucket_t;
@@ -68,9 +69,9 @@
 void burn_add(burn_t *burn, const char *tier, bool good, pimento_usec_t now);
 
 /*
- * Whether a request that failed with this error counts as bad. Errors that the
- * caller caused do not: it disconnected or sent a request that can never be
- * served.
+ * Whether a request that failed with this error counts as bad. It does not if
+ * the caller caused the error: by disconnecting, or by sending a request that
+ * can never be served.
  */
 bool burn_counts_as_bad(int error);
 
@@ -127,9 +128,12 @@
 typedef enum burn_state {
 	BURN_IDLE, /* no request in the last 24 h */
 	BURN_OK,
-	BURN_SPENT, /* rate above 1 in the last 24 h, but neither of the below */
-	BURN_SLOW, /* rate above 6 in the last 6 h and in the last 30 min */
-	BURN_FAST /* rate above 14.4 in the last 1 h and in the last 5 min */
+	/* burn rate above 1 in the last 24 h, but neither of the below */
+	BURN_SPENT,
+	/* burn rate above 6 in the last 6 h and in the last 30 min */
+	BURN_SLOW,
+	/* burn rate above 14.4 in the last 1 h and in the last 5 min */
+	BURN_FAST
 } burn_state_t;
 
 /*
--- a/src/config.h
+++ b/src/config.h
@@ -47,8 +47,9 @@
 	char account[PIMENTO_NAME_MAX]; /* "*" for every account */
 	config_target_t target;
 	char target_name[PIMENTO_NAME_MAX]; /* name of a model or service */
-	char method[8]; /* services only, such as "POST"; "" for any */
-	char path[128]; /* services only: exact, below the prefix; "" for any */
+	char method[8]; /* services only, such as "POST"; "" for any method */
+	/* services only: exact path below the prefix; "" for any path */
+	char path[128];
 	uint8_t tier; /* rank of the tier */
 	pimento_usec_t timeout; /* from arrival to the complete answer */
 	bool repeatable; /* false: needs an idempotency key, runs at most once */
@@ -77,7 +78,7 @@
 
 typedef struct pimento_config {
 	char deployment[PIMENTO_NAME_MAX];
-	uint64_t revision; /* of the platform; not set by the parser */
+	uint64_t revision; /* assigned by the platform; not set by the parser */
 	uint64_t digest; /* see pimento_config_digest() */
 	uint32_t body_max; /* maximum bytes of a request body */
 	pimento_usec_t retention; /* lifetime of idempotency keys */
@@ -182,7 +183,8 @@
 	char name[PIMENTO_NAME_MAX];
 	pimento_id_t id;
 	char datacentre[PIMENTO_NAME_MAX];
-	char address[64]; /* numeric; the peer port's, for entry hosts */
+	/* numeric IP address; of an entry host, that of its peer port */
+	char address[64];
 	uint16_t port;
 	bool is_endpoint; /* runs an endpoint; false for an entry host */
 	bool leaving; /* is being drained */
--- a/src/edge_settings.c
+++ b/src/edge_settings.c
@@ -12,7 +12,7 @@
 			EDGE_ADDRESS_MAX - 1, NULL        \
 	}
 
-/* A number that may be a fraction: the platform states some bounds as such. */
+/* A number that may be a fraction; the platform states some bounds as one. */
 #define NUMBER_FIELD(key, member, min)                                     \
 	{                                                                  \
 		key, FIELD_DOUBLE, false, OFFSET(member), min, NUMBER_MAX, \
@@ -27,10 +27,11 @@
 #define KEY_REVOKE_MS_DEFAULT 5000
 #define WINDOW_S_DEFAULT 10
 /*
- * The retry budget: retries allowed for each request, and further retries of all
- * hosts in one window. A ratio of one fifth is what operators commonly state; it
- * keeps retries from doubling the load on a failing service. The slack allows
- * retries when there is too little traffic for the ratio to give any.
+ * The retry budget of a window: the ratio is the number of retries allowed for
+ * each request; the slack is the number allowed in addition, over all hosts. A
+ * ratio of one fifth is what operators commonly state; it keeps retries from
+ * doubling the load on a failing service. The slack allows retries when there
+ * is too little traffic for the ratio to give any.
  */
 #define RETRY_RATIO_DEFAULT 0.2
 #define RETRY_SLACK_DEFAULT 50
--- a/src/edge_settings.h
+++ b/src/edge_settings.h
@@ -40,7 +40,8 @@
 	double stop_seconds; /* from SIGTERM until SIGKILL */
 	double key_revoke_ms; /* a revoked API key is refused after this */
 	double retry_ratio; /* retries allowed for each request */
-	double retry_slack; /* further retries of all hosts in a window */
+	/* retries of all hosts allowed in a window beyond the ratio */
+	double retry_slack;
 	double retry_window_s; /* window of the retry budget */
 	double quota_window_s; /* window in which quotas are counted */
 } edge_settings_t;
--- a/src/fields.h
+++ b/src/fields.h
@@ -18,7 +18,7 @@
 	FIELD_ADDRESS, /* char[64]: numeric IP address */
 	FIELD_HEX32, /* uint8_t[32] from 64 hexadecimal digits */
 	FIELD_BOOL, /* bool */
-	FIELD_U8, /* this and the following numbers lie in [min, max] */
+	FIELD_U8, /* uint8_t; this and all numbers below lie in [min, max] */
 	FIELD_U16,
 	FIELD_U32,
 	FIELD_DOUBLE, /* double */
--- a/src/questionnaire.c
+++ b/src/questionnaire.c
@@ -435,9 +435,9 @@
 }
 
 /*
- * Rejects requests that match the same call but differ in may_repeat, as
- * config_parse.c does for contracts: a call that must not be repeated could be
- * sent as one that may, and run twice.
+ * Rejects requests that match the same call but differ in may_repeat. Otherwise
+ * a call that must not be repeated could be sent as a request that may be, and
+ * run twice. config_parse.c rejects contracts for the same reason.
  */
 static void check_overlapping_requests(const parser_t *parser)
 {
--- a/src/questionnaire.h
+++ b/src/questionnaire.h
@@ -54,7 +54,7 @@
 	bool may_repeat;
 	int prompt_length; /* questionnaire_length_t */
 	int answer_length; /* questionnaire_length_t */
-	bool all_callers; /* from = ["*"]: every caller may send it */
+	bool all_callers; /* from = ["*"]: every caller may send the request */
 	uint32_t caller_count;
 	uint32_t *callers; /* indices into questionnaire_t.callers */
 } questionnaire_request_t;
@@ -75,7 +75,7 @@
 	uint16_t port;
 	bool checks_fencing;
 	uint32_t concurrency; /* maximum of requests in progress */
-	uint32_t context_tokens; /* maximum in a request; 0: no limit */
+	uint32_t context_tokens; /* maximum tokens of a request; 0: no limit */
 } questionnaire_endpoint_t;
 
 typedef struct questionnaire {
--- a/src/questionnaire_generate.c
+++ b/src/questionnaire_generate.c
@@ -22,7 +22,10 @@
 
 #define RETENTION_MIN (600 * PIMENTO_SEC)
 #define RETENTION_MAX (86400 * PIMENTO_SEC)
-/* A caller may retry a timed-out request until its timeout has passed again. */
+/*
+ * Idempotency keys are kept for this multiple of the longest timeout, so that a
+ * caller can retry a timed-out request for as long again as its timeout.
+ */
 #define RETENTION_PER_TIMEOUT 2
 
 #define HEX32_TEXT_SIZE 65
--- a/test/test_burn.c
+++ b/test/test_burn.c
@@ -12,7 +12,8 @@
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
 static const struct {
-	int64_t added_s; /* time of ten requests, one of them bad */
+	/* time at which ten requests, one of them bad, are counted */
+	int64_t added_s;
 	int64_t now_s;
 	uint32_t seconds; /* length of the window */
 	uint64_t total; /* requests expected in the window */
--- a/test/test_edge_settings.c
+++ b/test/test_edge_settings.c
@@ -15,7 +15,8 @@
 
 static const struct {
 	const char *text;
-	const char *problem; /* part of the error; NULL if accepted */
+	/* part of the error expected; NULL if the text is accepted */
+	const char *problem;
 } cases[] = {
 	{ HOST LISTEN STORE, NULL },
 	{ HOST LISTEN STORE "[peers]\nseeds = [\"10.1.0.2:82\"]\n", NULL },
--- a/test/test_questionnaire.c
+++ b/test/test_questionnaire.c
@@ -17,8 +17,8 @@
 static problems_t problems;
 
 /*
- * Returns a copy of the template in which to replaces from; if from is NULL, to
- * is appended.
+ * Returns a copy of the template with the first occurrence of `from` replaced
+ * by `to`, or with `to` appended if `from` is NULL.
  */
 static char *edit_template(const char *from, const char *to)
 {
@@ -100,7 +100,8 @@
 END_TEST
 
 static const struct {
-	const char *from; /* as for edit_template() */
+	/* text of the template to replace; NULL: append `to` */
+	const char *from;
 	const char *to;
 	const char *line; /* part of one of the errors reported */
 	uint32_t count; /* number of errors reported */
--- a/test/test_settings.c
+++ b/test/test_settings.c
@@ -151,7 +151,8 @@
 static const struct {
 	const char *text;
 	int error;
-	uint32_t count; /* hosts parsed; errors if the list is rejected */
+	/* number of hosts parsed, or of errors if the list is rejected */
+	uint32_t count;
 } lists[] = {
 	{ "{\"revision\":7,\"hosts\":[]}", 0, 0 },
 	{ "{\"revision\":7,\"hosts\":[" ENTRY "]}", 0, 1 },
