--- a/bench/slope_gossip.c
+++ b/bench/slope_gossip.c
@@ -47,7 +47,7 @@
 static void bytes_sent(const gossip_sim_t *f, double *mean, double *most,
 		       double *messages)
 {
-	uint32_t up = gossip_sim_count_up(f);
+	uint32_t up = gossip_sim_count_running_hosts(f);
 
 	*mean = 0;
 	*most = 0;
@@ -91,8 +91,8 @@
 
 static uint32_t not_in_force(const gossip_sim_t *f)
 {
-	return gossip_sim_count_up(f) -
-	       gossip_sim_count_in_force(f, CONFIG_SYNC_CONFIG);
+	return gossip_sim_count_running_hosts(f) -
+	       gossip_sim_count_updated_hosts(f, CONFIG_SYNC_CONFIG);
 }
 
 static pimento_usec_t until(gossip_sim_t *f,
--- a/io/control.c
+++ b/io/control.c
@@ -46,7 +46,7 @@
 {
 	control_t *control = (control_t *)handler;
 
-	pimento_host_hello(control->host, message);
+	pimento_host_fill_probe(control->host, message);
 }
 
 static int init_host(control_t *control)
--- a/io/status.c
+++ b/io/status.c
@@ -158,7 +158,7 @@
 		{ "requests_retried_total", "", c->retried },
 		{ "requests_resumed_total", "", c->resumed },
 		{ "requests_replayed_total", "", c->replayed },
-		{ "callers_left_total", "", c->callers_left },
+		{ "callers_left_total", "", c->callers_disconnected },
 		{ "callers_refused_total", "",
 		  control->counters.callers_refused },
 		{ "answers_whole_total", "", control->counters.answers_whole },
--- a/pimentoshelf.h
+++ b/pimentoshelf.h
@@ -334,7 +334,8 @@
  * Fills in a probe, the first message to a peer of which only the address is
  * known. The peer's ack carries its identity and revisions.
  */
-void pimento_host_hello(const pimento_host_t *host, struct message *message);
+void pimento_host_fill_probe(const pimento_host_t *host,
+			     struct message *message);
 
 /*
  * Processes a load report that an endpoint made about itself: requests running
--- a/src/entry.c
+++ b/src/entry.c
@@ -492,7 +492,7 @@
 {
 	pimento_action_t action = { .kind = PIMENTO_ACTION_CANCEL };
 
-	table->counters.callers_left++;
+	table->counters.callers_disconnected++;
 	if (entry->claim && entry->state == ENTRY_DISPATCHED) {
 		entry->caller_disconnected = true;
 		return;
--- a/src/entry.h
+++ b/src/entry.h
@@ -94,7 +94,7 @@
 	uint64_t retried;
 	uint64_t resumed;
 	uint64_t replayed;
-	uint64_t callers_left; /* callers that disconnected */
+	uint64_t callers_disconnected; /* callers that disconnected */
 } entry_counters_t;
 
 typedef struct entry_table {
--- a/src/entry_claim.c
+++ b/src/entry_claim.c
@@ -62,7 +62,7 @@
 	/*
 	 * In CLAIM_TAKEN the claim was won for an endpoint that could not be
 	 * reached; it is kept and only the endpoint in it changes. While the
-	 * query is unanswered, on_claim_free() requests the claim later.
+	 * query is unanswered, on_key_unclaimed() requests the claim later.
 	 */
 	if (entry->claim->state == CLAIM_AVAILABLE ||
 	    entry->claim->state == CLAIM_TAKEN)
@@ -123,8 +123,8 @@
 	entry_schedule(table, entry, now + OUTCOME_QUERY_PERIOD);
 }
 
-static void on_claim_free(entry_table_t *table, pimento_usec_t now,
-			  entry_t *entry)
+static void on_key_unclaimed(entry_table_t *table, pimento_usec_t now,
+			     entry_t *entry)
 {
 	if (entry->state == ENTRY_QUERYING_OUTCOME) {
 		entry_reserve(table, now, entry);
@@ -154,7 +154,7 @@
 	case CLAIM_NO_EVENT:
 		return;
 	case CLAIM_FREE:
-		on_claim_free(table, now, entry);
+		on_key_unclaimed(table, now, entry);
 		return;
 	case CLAIM_WON:
 		on_claim_won(table, now, entry);
--- a/src/entry_reserve.c
+++ b/src/entry_reserve.c
@@ -93,8 +93,8 @@
  * No endpoint can be reached now. A restart of an endpoint takes about
  * UNREACHABLE_WAIT_MAX, so the request waits that long before it is refused.
  */
-static bool wait_for_reachable(entry_table_t *table, pimento_usec_t now,
-			       entry_t *entry)
+static bool retry_while_unreachable(entry_table_t *table, pimento_usec_t now,
+				    entry_t *entry)
 {
 	if (!entry->unreachable_since)
 		entry->unreachable_since = now;
@@ -121,7 +121,7 @@
 		return;
 	}
 	if (error == PIMENTO_EUNREACHABLE && !entry->retry.refused_count &&
-	    wait_for_reachable(table, now, entry))
+	    retry_while_unreachable(table, now, entry))
 		return;
 	if (entry->retry.reason)
 		error = entry->retry.reason;
@@ -208,7 +208,8 @@
  * Holds a grant while the query of the key's claim is unanswered. If the grant
  * expires first, the slot is released and reserved again.
  */
-static void hold_grant(entry_table_t *table, pimento_usec_t now, entry_t *entry)
+static void keep_grant_during_query(entry_table_t *table, pimento_usec_t now,
+				    entry_t *entry)
 {
 	if (now < entry->grant_expires_at) {
 		schedule_reserve(table, entry, entry->grant_expires_at);
@@ -232,7 +233,7 @@
 		return;
 	}
 	if (entry->grant_expires_at) {
-		hold_grant(table, now, entry);
+		keep_grant_during_query(table, now, entry);
 		return;
 	}
 	if (entry->state == ENTRY_RESERVING && !entry->owner) {
@@ -349,8 +350,9 @@
  * Passes a witness's reply to the entries with that key; the sequence number,
  * unique in this host, tells each claim whether the reply is for it.
  */
-static void handle_witness(entry_table_t *table, pimento_usec_t now,
-			   pimento_id_t from, const message_witness_t *witness)
+static void handle_witness_reply(entry_table_t *table, pimento_usec_t now,
+				 pimento_id_t from,
+				 const message_witness_t *witness)
 {
 	for (uint32_t i = 0; i < table->high_water; i++) {
 		entry_t *entry = &table->entries[i];
@@ -388,7 +390,7 @@
 		handle_refuse(table, now, from, &message->u.refuse);
 		return PIMENTO_OK;
 	case MESSAGE_WITNESS:
-		handle_witness(table, now, from, &message->u.witness);
+		handle_witness_reply(table, now, from, &message->u.witness);
 		return PIMENTO_OK;
 	default:
 		return PIMENTO_EINVAL;
--- a/src/host.c
+++ b/src/host.c
@@ -770,7 +770,8 @@
 	       now - host->started > READY_GRACE;
 }
 
-void pimento_host_hello(const pimento_host_t *host, struct message *message)
+void pimento_host_fill_probe(const pimento_host_t *host,
+			     struct message *message)
 {
 	message_probe_t *probe = &message->u.probe;
 
--- a/test/gossip_sim.c
+++ b/test/gossip_sim.c
@@ -158,7 +158,7 @@
  * Does the work of a daemon after each event of a host: puts received texts
  * into force, sends the outbox and schedules the next tick; checks invariants.
  */
-static void finish_step(gossip_sim_t *sim, gossip_sim_host_t *h)
+static void complete_host_event(gossip_sim_t *sim, gossip_sim_host_t *h)
 {
 	static message_t message;
 	pimento_id_t to;
@@ -302,10 +302,10 @@
 		resume_host(sim, h);
 	if (h->up && event.message) {
 		receive_message(sim, h, event.from, event.message);
-		finish_step(sim, h);
+		complete_host_event(sim, h);
 	} else if (h->up && event.at == h->tick_at) {
 		tick_host(sim, h);
-		finish_step(sim, h);
+		complete_host_event(sim, h);
 	}
 	free(event.message);
 }
@@ -367,7 +367,7 @@
 		membership_add_host(&h->membership, sim->now,
 				    sim->hosts[(host + 1 + i) % sim->count].id);
 	tick_host(sim, h);
-	finish_step(sim, h);
+	complete_host_event(sim, h);
 }
 
 void gossip_sim_kill_host(gossip_sim_t *sim, uint32_t host)
@@ -464,7 +464,7 @@
 	return text;
 }
 
-uint32_t gossip_sim_count_up(const gossip_sim_t *sim)
+uint32_t gossip_sim_count_running_hosts(const gossip_sim_t *sim)
 {
 	uint32_t n = 0;
 
@@ -473,8 +473,8 @@
 	return n;
 }
 
-uint32_t gossip_sim_count_in_force(const gossip_sim_t *sim,
-				   config_sync_subject_t subject)
+uint32_t gossip_sim_count_updated_hosts(const gossip_sim_t *sim,
+					config_sync_subject_t subject)
 {
 	uint32_t n = 0;
 
@@ -512,7 +512,8 @@
 	return n;
 }
 
-uint32_t gossip_sim_count_undetected(const gossip_sim_t *sim, uint32_t dead)
+uint32_t gossip_sim_count_unaware_hosts(const gossip_sim_t *sim,
+					uint32_t dead_host)
 {
 	uint32_t n = 0;
 
@@ -522,7 +523,8 @@
 
 		if (!h->up)
 			continue;
-		state = membership_state(&h->membership, sim->hosts[dead].id);
+		state = membership_state(&h->membership,
+					 sim->hosts[dead_host].id);
 		n += state == HOST_LIVE || state == HOST_SUSPECT;
 	}
 	return n;
--- a/test/gossip_sim.h
+++ b/test/gossip_sim.h
@@ -95,9 +95,9 @@
 char *gossip_sim_make_config(gossip_sim_t *gossip_sim, size_t size);
 
 /* Counts hosts that are up and have the published revision in force. */
-uint32_t gossip_sim_count_in_force(const gossip_sim_t *gossip_sim,
-				   config_sync_subject_t subject);
-uint32_t gossip_sim_count_up(const gossip_sim_t *gossip_sim);
+uint32_t gossip_sim_count_updated_hosts(const gossip_sim_t *gossip_sim,
+					config_sync_subject_t subject);
+uint32_t gossip_sim_count_running_hosts(const gossip_sim_t *gossip_sim);
 
 /*
  * Counts pairs of hosts where the first, which is up, holds a wrong state of
@@ -106,9 +106,9 @@
  */
 uint32_t gossip_sim_count_wrong_states(const gossip_sim_t *gossip_sim);
 
-/* Counts hosts that are up and have not detected that the host dead is dead. */
-uint32_t gossip_sim_count_undetected(const gossip_sim_t *gossip_sim,
-				     uint32_t dead);
+/* Counts hosts that are up and have not detected that dead_host is dead. */
+uint32_t gossip_sim_count_unaware_hosts(const gossip_sim_t *gossip_sim,
+					uint32_t dead_host);
 
 /* Counts endpoints for which the hosts that are up compute different owners. */
 uint32_t gossip_sim_count_disputed_owners(const gossip_sim_t *gossip_sim,
--- a/test/netsim.c
+++ b/test/netsim.c
@@ -156,7 +156,8 @@
 	}
 }
 
-static tracked_request_t *find_tracked(netsim_t *netsim, pimento_reqid_t id)
+static tracked_request_t *find_tracked_request(netsim_t *netsim,
+					       pimento_reqid_t id)
 {
 	for (uint32_t i = netsim->tracked_count; i-- > 0;) {
 		if (pimento_reqid_equal(netsim->tracked_requests[i].id, id))
@@ -166,16 +167,16 @@
 }
 
 static tracked_request_t *
-find_tracked_by_handle(netsim_t *netsim, uint32_t host, pimento_handle_t handle)
+find_request_by_handle(netsim_t *netsim, uint32_t host, pimento_handle_t handle)
 {
 	pimento_reqid_t id = { netsim->sim_hosts[host].incarnation, handle };
 
-	return find_tracked(netsim, id);
+	return find_tracked_request(netsim, id);
 }
 
 /* Reads from a host's state which attempt of its key a request uses, or 0. */
-static uint32_t attempt_of(netsim_t *netsim, uint32_t host,
-			   pimento_handle_t handle)
+static uint32_t read_key_attempt(netsim_t *netsim, uint32_t host,
+				 pimento_handle_t handle)
 {
 	const entry_table_t *table = &netsim->sim_hosts[host].host->entries;
 	const entry_t *entry = &table->entries[(uint32_t)handle];
@@ -249,8 +250,8 @@
 	return delay;
 }
 
-static void send_once(netsim_t *netsim, uint32_t from, uint32_t to,
-		      const message_t *message)
+static void schedule_delivery(netsim_t *netsim, uint32_t from, uint32_t to,
+			      const message_t *message)
 {
 	size_t size = message_size(message->kind);
 	netsim_event_t event = { .kind = NETSIM_EVENT_MESSAGE, .host = to };
@@ -276,11 +277,11 @@
 		netsim->counts.lost++;
 		return;
 	}
-	send_once(netsim, from, to, action->message);
+	schedule_delivery(netsim, from, to, action->message);
 	if (!netsim->healed &&
 	    random_chance(netsim, netsim->faults.duplication)) {
 		netsim->counts.duplicated++;
-		send_once(netsim, from, to, action->message);
+		schedule_delivery(netsim, from, to, action->message);
 	}
 }
 
@@ -295,8 +296,10 @@
 	push_event(netsim, &event);
 }
 
-static void schedule_end(netsim_t *netsim, const netsim_event_t *connect,
-			 pimento_usec_t due, pimento_event_kind_t outcome)
+static void schedule_exchange_end(netsim_t *netsim,
+				  const netsim_event_t *connect,
+				  pimento_usec_t due,
+				  pimento_event_kind_t outcome)
 {
 	netsim_event_t event = *connect;
 
@@ -310,7 +313,7 @@
 			  pimento_handle_t handle)
 {
 	tracked_request_t *tracked =
-		find_tracked_by_handle(netsim, host, handle);
+		find_request_by_handle(netsim, host, handle);
 
 	if (!tracked || tracked->caller_disconnected)
 		return;
@@ -323,7 +326,7 @@
 			   const pimento_action_t *action)
 {
 	tracked_request_t *tracked =
-		find_tracked_by_handle(netsim, host, action->request);
+		find_request_by_handle(netsim, host, action->request);
 
 	record_answer(netsim, host, action->request);
 	netsim->counts.refused[action->verdict]++;
@@ -344,12 +347,12 @@
 			 const pimento_action_t *action)
 {
 	const tracked_request_t *tracked =
-		find_tracked_by_handle(netsim, host, action->request);
+		find_request_by_handle(netsim, host, action->request);
 	pimento_reqid_t id;
 	const tracked_request_t *ran;
 
 	memcpy(&id, action->answer, sizeof(id));
-	ran = find_tracked(netsim, id);
+	ran = find_tracked_request(netsim, id);
 	if (tracked && (!ran || ran->key != tracked->key || !ran->commits))
 		report_violation(netsim, "replayed the answer of another key",
 				 tracked);
@@ -397,8 +400,9 @@
 static void commit_exchange(netsim_t *netsim, const netsim_event_t *event)
 {
 	pimento_handle_t handle = event->action.request;
-	uint32_t attempt = attempt_of(netsim, event->host, handle);
-	tracked_request_t *tracked = find_tracked(netsim, event->action.stream);
+	uint32_t attempt = read_key_attempt(netsim, event->host, handle);
+	tracked_request_t *tracked =
+		find_tracked_request(netsim, event->action.stream);
 	pimento_usec_t end;
 
 	if (pimento_host_commit(netsim->sim_hosts[event->host].host,
@@ -413,47 +417,47 @@
 	      (pimento_usec_t)random_below(netsim, (uint64_t)RUN_TIME_SPREAD);
 	tracked->run_ends_at = end;
 	if (!netsim->healed && random_chance(netsim, netsim->faults.disconnect))
-		schedule_end(netsim, event,
-			     netsim->now + (end - netsim->now) / 2,
-			     PIMENTO_EVENT_CONNECTION_LOST);
+		schedule_exchange_end(netsim, event,
+				      netsim->now + (end - netsim->now) / 2,
+				      PIMENTO_EVENT_CONNECTION_LOST);
 	else
-		schedule_end(netsim, event, end, PIMENTO_EVENT_DONE);
+		schedule_exchange_end(netsim, event, end, PIMENTO_EVENT_DONE);
 }
 
 static void resume_stream(netsim_t *netsim, const netsim_event_t *event)
 {
 	const tracked_request_t *tracked =
-		find_tracked(netsim, event->action.stream);
+		find_tracked_request(netsim, event->action.stream);
 	pimento_usec_t end;
 
 	if (!tracked || !tracked->run_ends_at ||
 	    tracked->endpoint != event->action.endpoint) {
-		schedule_end(netsim, event, netsim->now,
-			     PIMENTO_EVENT_STREAM_UNKNOWN);
+		schedule_exchange_end(netsim, event, netsim->now,
+				      PIMENTO_EVENT_STREAM_UNKNOWN);
 		return;
 	}
 	end = tracked->run_ends_at > netsim->now ? tracked->run_ends_at
 						 : netsim->now;
 	if (!netsim->healed && random_chance(netsim, netsim->faults.disconnect))
-		schedule_end(netsim, event, netsim->now,
-			     PIMENTO_EVENT_CONNECTION_LOST);
+		schedule_exchange_end(netsim, event, netsim->now,
+				      PIMENTO_EVENT_CONNECTION_LOST);
 	else
-		schedule_end(netsim, event, end, PIMENTO_EVENT_DONE);
+		schedule_exchange_end(netsim, event, end, PIMENTO_EVENT_DONE);
 }
 
-static void on_connect(netsim_t *netsim, const netsim_event_t *event)
+static void handle_connect_result(netsim_t *netsim, const netsim_event_t *event)
 {
 	if (!netsim->healed &&
 	    random_chance(netsim, netsim->faults.connect_refused))
-		schedule_end(netsim, event, netsim->now,
-			     PIMENTO_EVENT_UNREACHABLE);
+		schedule_exchange_end(netsim, event, netsim->now,
+				      PIMENTO_EVENT_UNREACHABLE);
 	else if (event->action.kind == PIMENTO_ACTION_DISPATCH)
 		commit_exchange(netsim, event);
 	else
 		resume_stream(netsim, event);
 }
 
-static void on_end(netsim_t *netsim, const netsim_event_t *event)
+static void handle_exchange_end(netsim_t *netsim, const netsim_event_t *event)
 {
 	pimento_event_t outcome = { .kind = event->outcome,
 				    .status = 200,
@@ -468,11 +472,12 @@
 			   event->action.request, &outcome);
 }
 
-static void on_caller_leave(netsim_t *netsim, const netsim_event_t *event)
+static void handle_caller_disconnect(netsim_t *netsim,
+				     const netsim_event_t *event)
 {
 	pimento_event_t outcome = { .kind = PIMENTO_EVENT_CALLER_DISCONNECTED };
 	tracked_request_t *tracked =
-		find_tracked_by_handle(netsim, event->host, event->handle);
+		find_request_by_handle(netsim, event->host, event->handle);
 
 	if (!tracked || tracked->answered)
 		return;
@@ -500,11 +505,11 @@
 	} else if (sim_host->host &&
 		   sim_host->incarnation == event->incarnation) {
 		if (event->kind == NETSIM_EVENT_CONNECT)
-			on_connect(netsim, event);
+			handle_connect_result(netsim, event);
 		else if (event->kind == NETSIM_EVENT_END)
-			on_end(netsim, event);
+			handle_exchange_end(netsim, event);
 		else
-			on_caller_leave(netsim, event);
+			handle_caller_disconnect(netsim, event);
 	}
 	if (sim_host->host)
 		run_actions(netsim, event->host);
@@ -536,7 +541,7 @@
 	return error;
 }
 
-static void crash(netsim_t *netsim, uint32_t i)
+static void crash_host(netsim_t *netsim, uint32_t i)
 {
 	netsim_host_t *sim_host = &netsim->sim_hosts[i];
 
@@ -550,7 +555,7 @@
 						     netsim, 4 * PIMENTO_SEC);
 }
 
-static void partition(netsim_t *netsim)
+static void change_partition(netsim_t *netsim)
 {
 	bool start_partition = random_chance(netsim, 0.5);
 
@@ -566,7 +571,7 @@
 		netsim_host_t *sim_host = &netsim->sim_hosts[i];
 
 		if (random_chance(netsim, netsim->faults.crash))
-			crash(netsim, i);
+			crash_host(netsim, i);
 		if (sim_host->host &&
 		    random_chance(netsim, netsim->faults.pause)) {
 			netsim->counts.pauses++;
@@ -576,7 +581,7 @@
 		}
 	}
 	if (random_chance(netsim, netsim->faults.partition))
-		partition(netsim);
+		change_partition(netsim);
 }
 
 /* Makes a caller's own key, a UUID version 7, which contains a timestamp. */
@@ -700,7 +705,7 @@
 	return next > netsim->now ? next : netsim->now + 1;
 }
 
-static void step(netsim_t *netsim)
+static void advance_to_next_event(netsim_t *netsim)
 {
 	netsim->counts.steps++;
 	netsim->now = next_time(netsim);
@@ -723,7 +728,7 @@
 	}
 }
 
-static void heal(netsim_t *netsim)
+static void end_faults(netsim_t *netsim)
 {
 	netsim->healed = true;
 	for (uint32_t i = 0; i < NETSIM_HOSTS; i++) {
@@ -753,11 +758,11 @@
 	pimento_usec_t end = netsim->now + span;
 
 	while (netsim->now < end && !*netsim->violation)
-		step(netsim);
-	heal(netsim);
+		advance_to_next_event(netsim);
+	end_faults(netsim);
 	end = netsim->now + RECOVERY_SPAN;
 	while (netsim->now < end && !*netsim->violation)
-		step(netsim);
+		advance_to_next_event(netsim);
 	check_answered(netsim);
 }
 
--- a/test/test_gossip.c
+++ b/test/test_gossip.c
@@ -113,7 +113,7 @@
 	}
 }
 
-static void heal(gossip_sim_t *sim)
+static void end_faults_and_recover(gossip_sim_t *sim)
 {
 	sim->loss = 0;
 	sim->slow_message_chance = 0;
@@ -150,7 +150,7 @@
 		}
 		inject_fault(&sim);
 	}
-	heal(&sim);
+	end_faults_and_recover(&sim);
 	check_leaving(&sim, observed);
 	ck_assert_msg(!sim.violations, "seed %llu: %llu invariant violations",
 		      (unsigned long long)seed,
@@ -163,15 +163,16 @@
 		      "seed %llu: hosts disagree on owners",
 		      (unsigned long long)seed);
 	ck_assert_msg(
-		gossip_sim_count_in_force(&sim, CONFIG_SYNC_CONFIG) ==
-				gossip_sim_count_up(&sim) &&
-			gossip_sim_count_in_force(&sim, CONFIG_SYNC_HOSTS) ==
-				gossip_sim_count_up(&sim),
+		gossip_sim_count_updated_hosts(&sim, CONFIG_SYNC_CONFIG) ==
+				gossip_sim_count_running_hosts(&sim) &&
+			gossip_sim_count_updated_hosts(&sim,
+						       CONFIG_SYNC_HOSTS) ==
+				gossip_sim_count_running_hosts(&sim),
 		"seed %llu: configuration in force on %u, host list on %u of %u hosts",
 		(unsigned long long)seed,
-		gossip_sim_count_in_force(&sim, CONFIG_SYNC_CONFIG),
-		gossip_sim_count_in_force(&sim, CONFIG_SYNC_HOSTS),
-		gossip_sim_count_up(&sim));
+		gossip_sim_count_updated_hosts(&sim, CONFIG_SYNC_CONFIG),
+		gossip_sim_count_updated_hosts(&sim, CONFIG_SYNC_HOSTS),
+		gossip_sim_count_running_hosts(&sim));
 	gossip_sim_finish(&sim);
 	free(observed);
 }
@@ -219,10 +220,10 @@
 	return sim->now - start;
 }
 
-static uint32_t not_in_force(const gossip_sim_t *sim)
+static uint32_t count_outdated_hosts(const gossip_sim_t *sim)
 {
-	return gossip_sim_count_up(sim) -
-	       gossip_sim_count_in_force(sim, CONFIG_SYNC_CONFIG);
+	return gossip_sim_count_running_hosts(sim) -
+	       gossip_sim_count_updated_hosts(sim, CONFIG_SYNC_CONFIG);
 }
 
 /*
@@ -293,7 +294,7 @@
 	gossip_sim_run(&sim, 5 * PIMENTO_SEC);
 	gossip_sim_kill_host(&sim, 1);
 	start = sim.now;
-	while (gossip_sim_count_undetected(&sim, 1) &&
+	while (gossip_sim_count_unaware_hosts(&sim, 1) &&
 	       sim.now - start < 60 * PIMENTO_SEC)
 		gossip_sim_run(&sim, 100 * PIMENTO_MSEC);
 	printf("gossip: death known to all hosts after %d ms\n",
@@ -317,8 +318,9 @@
 	gossip_sim_kill_host(&sim, 3);
 	gossip_sim_run(&sim, 10 * PIMENTO_SEC);
 	gossip_sim_start_host(&sim, 3);
-	ck_assert_int_lt(time_until_zero(&sim, not_in_force, 60 * PIMENTO_SEC),
-			 2 * PIMENTO_SEC);
+	ck_assert_int_lt(
+		time_until_zero(&sim, count_outdated_hosts, 60 * PIMENTO_SEC),
+		2 * PIMENTO_SEC);
 	ck_assert_int_lt(time_until_zero(&sim, gossip_sim_count_wrong_states,
 					 60 * PIMENTO_SEC),
 			 6 * PIMENTO_SEC);
@@ -341,9 +343,9 @@
 	for (uint32_t i = 0; i < 20; i++) {
 		gossip_sim_publish(&sim, CONFIG_SYNC_CONFIG,
 				   gossip_sim_make_config(&sim, 20000));
-		ck_assert_int_lt(
-			time_until_zero(&sim, not_in_force, 60 * PIMENTO_SEC),
-			3 * PIMENTO_SEC);
+		ck_assert_int_lt(time_until_zero(&sim, count_outdated_hosts,
+						 60 * PIMENTO_SEC),
+				 3 * PIMENTO_SEC);
 		gossip_sim_run(&sim, PIMENTO_SEC);
 	}
 	ck_assert_uint_eq(sim.violations, 0);
