--- a/io/gateway.c
+++ b/io/gateway.c
@@ -138,7 +138,7 @@
 			peers_endpoint_load(gateway->roster, e->key, now);
 
 		e->remote_running = load.running;
-		if (now - e->report_at < TOLD_AGE)
+		if (now - e->report_received_at < TOLD_AGE)
 			e->remote_running =
 				e->report.running > e->own_running_at_report
 					? e->report.running -
--- a/io/slots.c
+++ b/io/slots.c
@@ -44,15 +44,16 @@
 	uint64_t epoch = peers_owner_changes(slots->roster) + 1;
 	uint32_t owner;
 
-	if (endpoint->owner_epoch == epoch)
+	if (endpoint->owner_change_count == epoch)
 		return endpoint->owner;
 	owner = peers_owner(slots->roster, endpoint->key);
 	if (endpoint->owner != owner) {
 		slots->owners_changed++;
-		endpoint->reported_at = 0; /* the new one is to know at once */
+		/* the new one is to know at once */
+		endpoint->running_sent_at = 0;
 	}
 	endpoint->owner = owner;
-	endpoint->owner_epoch = epoch;
+	endpoint->owner_change_count = epoch;
 	return owner;
 }
 
@@ -68,10 +69,10 @@
 		.running = grants_running(&slots->grants, key),
 		.waiting = grants_waiting(&slots->grants, key),
 		.event_gap_us = (uint32_t)endpoint->latency.event_gap_us,
-		.unreachable = endpoint->latency.consecutive_unreachable > 0 ||
-			       (service &&
-				latency_endpoint_is_failing(&endpoint->latency,
-							    &service->latency)),
+		.suspect = endpoint->latency.consecutive_unreachable > 0 ||
+			   (service &&
+			    latency_endpoint_is_failing(&endpoint->latency,
+							&service->latency)),
 	};
 
 	if (endpoint->latency.ejected_until > now)
@@ -296,13 +297,13 @@
 {
 	packet_t packet = { .kind = PACKET_RUNNING_REPORT };
 
-	if (!endpoint->running && !endpoint->reported_running)
+	if (!endpoint->running && !endpoint->sent_running)
 		return;
-	if (endpoint->reported_at &&
-	    now - endpoint->reported_at < GRANTS_REPORT_INTERVAL)
+	if (endpoint->running_sent_at &&
+	    now - endpoint->running_sent_at < GRANTS_REPORT_INTERVAL)
 		return;
-	endpoint->reported_at = now;
-	endpoint->reported_running = endpoint->running;
+	endpoint->running_sent_at = now;
+	endpoint->sent_running = endpoint->running;
 	packet.as.running_report = (packet_running_report_t){
 		.endpoint = (uint32_t)endpoint->key,
 		.address = slots->self,
@@ -343,13 +344,14 @@
 
 		if (note->owner_report_count == GOSSIP_OWNER_REPORTS_MAX)
 			return;
-		if (!e->report_at || now - e->report_at > RELAY_AGE ||
+		if (!e->report_received_at ||
+		    now - e->report_received_at > RELAY_AGE ||
 		    owner_of(slots, e) == slots->self)
 			continue;
 		note->owner_reports[note->owner_report_count++] =
 			(gossip_owner_report_t){
 				.endpoint = (uint32_t)e->key,
-				.age = now - e->report_at,
+				.age = now - e->report_received_at,
 				.report = e->report,
 			};
 	}
@@ -369,7 +371,8 @@
 		registry_endpoint_t *e = endpoint_of(slots, owned->endpoint);
 		pimento_usec_t at = now - owned->age;
 
-		if (e && at > e->report_at && owner_of(slots, e) != slots->self)
+		if (e && at > e->report_received_at &&
+		    owner_of(slots, e) != slots->self)
 			registry_apply_report(e, &owned->report, at);
 	}
 }
--- a/src/catalog.c
+++ b/src/catalog.c
@@ -258,7 +258,7 @@
 	return NULL;
 }
 
-pimento_id_t catalog_select_service(const catalog_route_t *route, uint64_t hash)
+pimento_id_t catalog_select_service(const catalog_route_t *route, uint64_t draw)
 {
 	uint64_t total = 0;
 
@@ -266,11 +266,11 @@
 		total += route->targets[i].weight;
 	if (!total)
 		return route->target_count ? route->targets[0].service : 0;
-	hash %= total;
+	draw %= total;
 	for (uint32_t i = 0; i < route->target_count; i++) {
-		if (hash < route->targets[i].weight)
+		if (draw < route->targets[i].weight)
 			return route->targets[i].service;
-		hash -= route->targets[i].weight;
+		draw -= route->targets[i].weight;
 	}
 	return 0;
 }
--- a/src/catalog.h
+++ b/src/catalog.h
@@ -130,10 +130,10 @@
 const catalog_service_t *catalog_find_service(const catalog_t *catalog,
 					      pimento_id_t key);
 /*
- * Selects one of the route's services by weight; hash is a random number that
+ * Selects one of the route's services by weight; draw is a random number that
  * the caller draws for each request. Returns 0 if the route has no service.
  */
 pimento_id_t catalog_select_service(const catalog_route_t *route,
-				    uint64_t hash);
+				    uint64_t draw);
 
 #endif
--- a/src/delta.c
+++ b/src/delta.c
@@ -144,7 +144,7 @@
 	return n;
 }
 
-static void emit_insert(buffer_t *b, const char *bytes, size_t length)
+static void emit_insert_op(buffer_t *b, const char *bytes, size_t length)
 {
 	if (!length)
 		return;
@@ -152,7 +152,7 @@
 	append(b, bytes, length);
 }
 
-static void emit_copy(buffer_t *b, size_t from, size_t length)
+static void emit_copy_op(buffer_t *b, size_t from, size_t length)
 {
 	append_varint(b, (uint64_t)length << 1 | OP_COPY);
 	append_varint(b, from);
@@ -163,9 +163,9 @@
  * end of the last copy, first: if only a few tokens have changed in between,
  * this finds the right one of many equal tokens.
  */
-static size_t find_copy(const token_table_t *table, const char *base,
-			size_t base_length, const char *text, size_t length,
-			size_t expected, size_t *from)
+static size_t find_base_match(const token_table_t *table, const char *base,
+			      size_t base_length, const char *text,
+			      size_t length, size_t expected, size_t *from)
 {
 	size_t n = token_length(text, length);
 	size_t best = common_prefix(base + expected, base_length - expected,
@@ -187,9 +187,9 @@
 	return found;
 }
 
-static void emit_ops(buffer_t *out, const token_table_t *table,
-		     const char *base, size_t base_length, const char *text,
-		     size_t length)
+static void emit_delta_ops(buffer_t *out, const token_table_t *table,
+			   const char *base, size_t base_length,
+			   const char *text, size_t length)
 {
 	size_t pending = 0; /* start of the text not yet covered by an op */
 	size_t expected = 0;
@@ -197,8 +197,8 @@
 
 	while (at < length) {
 		size_t from;
-		size_t n = find_copy(table, base, base_length, text + at,
-				     length - at, expected, &from);
+		size_t n = find_base_match(table, base, base_length, text + at,
+					   length - at, expected, &from);
 
 		if (n < COPY_MIN) {
 			n = token_length(text + at, length - at);
@@ -207,13 +207,13 @@
 			at += n;
 			continue;
 		}
-		emit_insert(out, text + pending, at - pending);
-		emit_copy(out, from, n);
+		emit_insert_op(out, text + pending, at - pending);
+		emit_copy_op(out, from, n);
 		at += n;
 		pending = at;
 		expected = from + n;
 	}
-	emit_insert(out, text + pending, length - pending);
+	emit_insert_op(out, text + pending, length - pending);
 }
 
 int delta_create(const char *base, size_t base_length, const char *text,
@@ -226,7 +226,7 @@
 	if (error)
 		return error;
 	append(&out, "", 0);
-	emit_ops(&out, &table, base, base_length, text, length);
+	emit_delta_ops(&out, &table, base, base_length, text, length);
 	free(table.offsets);
 	if (out.failed) {
 		free(out.bytes);
--- a/src/endpoint.c
+++ b/src/endpoint.c
@@ -80,7 +80,7 @@
 	       !strcmp(a->config.target_name, b->config.target_name);
 }
 
-static uint32_t slot_share(const owner_endpoint_t *e)
+static uint32_t share_of_slots(const owner_endpoint_t *e)
 {
 	uint32_t all = limit_requests(&e->limit);
 	uint32_t part = (uint32_t)(all * e->weight);
@@ -88,7 +88,8 @@
 	return part ? part : 1;
 }
 
-static uint32_t external_running(const owner_endpoint_t *e, pimento_usec_t now)
+static uint32_t current_external_running(const owner_endpoint_t *e,
+					 pimento_usec_t now)
 {
 	return now < e->external_running_until ? e->external_running : 0;
 }
@@ -104,9 +105,9 @@
 uint32_t endpoint_tier_slots(const owner_endpoint_t *e, pimento_usec_t now,
 			     uint8_t tier)
 {
-	uint32_t slots = slot_share(e);
+	uint32_t slots = share_of_slots(e);
 	uint32_t available = limit_requests(&e->limit);
-	uint32_t others = external_running(e, now);
+	uint32_t others = current_external_running(e, now);
 	uint32_t reserved;
 
 	available = available > others ? available - others : 0;
--- a/src/hostlist.c
+++ b/src/hostlist.c
@@ -62,17 +62,19 @@
 }
 
 /*
- * Sets *to to whether the text under key equals yes. Returns false if it equals
- * neither yes nor no.
+ * Sets *to to true if the text under key is true_text, and to false if it is
+ * false_text. Returns false if it is neither.
  */
-static bool copy_choice(const json_t *host, const char *key, const char *no,
-			const char *yes, bool *to)
+static bool parse_two_valued_text(const json_t *host, const char *key,
+				  const char *false_text, const char *true_text,
+				  bool *to)
 {
 	const char *text = json_string_value(json_object_get(host, key));
 
-	if (!text || (strcmp(text, no) != 0 && strcmp(text, yes) != 0))
+	if (!text ||
+	    (strcmp(text, false_text) != 0 && strcmp(text, true_text) != 0))
 		return false;
-	*to = !strcmp(text, yes);
+	*to = !strcmp(text, true_text);
 	return true;
 }
 
@@ -90,10 +92,12 @@
 	if (!copy_port(host, to))
 		add_host_problem(problems, index, "port",
 				 "must be an integer between 1 and 65535");
-	if (!copy_choice(host, "role", "entry", "endpoint", &to->is_endpoint))
+	if (!parse_two_valued_text(host, "role", "entry", "endpoint",
+				   &to->is_endpoint))
 		add_host_problem(problems, index, "role",
 				 "must be \"entry\" or \"endpoint\"");
-	if (!copy_choice(host, "state", "live", "leaving", &to->leaving))
+	if (!parse_two_valued_text(host, "state", "live", "leaving",
+				   &to->leaving))
 		add_host_problem(problems, index, "state",
 				 "must be \"live\" or \"leaving\"");
 	to->id = pimento_id(to->name);
--- a/src/packet.c
+++ b/src/packet.c
@@ -97,7 +97,7 @@
 		scratch->owned[i].ejected_ms =
 			gossip->owner_reports[i].report.ejected_ms;
 		scratch->owned[i].doubtful =
-			gossip->owner_reports[i].report.unreachable;
+			gossip->owner_reports[i].report.suspect;
 		scratch->owned[i].age_ms =
 			(uint32_t)(gossip->owner_reports[i].age / PIMENTO_MSEC);
 		scratch->owned_pointers[i] = &scratch->owned[i];
@@ -206,7 +206,7 @@
 	out.waiting = reply->report.waiting;
 	out.gap_us = reply->report.event_gap_us;
 	out.ejected_ms = reply->report.ejected_ms;
-	out.doubtful = reply->report.unreachable;
+	out.doubtful = reply->report.suspect;
 	message.content_case = PEER__PACKET__CONTENT_REPLY;
 	message.reply = &out;
 	return encode(&message, bytes, size);
@@ -370,7 +370,7 @@
 				    .waiting = message->owned[i]->waiting,
 				    .event_gap_us = message->owned[i]->gap_us,
 				    .ejected_ms = message->owned[i]->ejected_ms,
-				    .unreachable =
+				    .suspect =
 					    message->owned[i]->doubtful != 0 },
 		};
 	copy_membership(gossip, message);
@@ -403,7 +403,7 @@
 			    .waiting = message->waiting,
 			    .event_gap_us = message->gap_us,
 			    .ejected_ms = message->ejected_ms,
-			    .unreachable = message->doubtful != 0 },
+			    .suspect = message->doubtful != 0 },
 	};
 }
 
--- a/src/placement.c
+++ b/src/placement.c
@@ -250,7 +250,7 @@
 
 	first *= 1 + LOAD_COST * load;
 	first *= 1 + QUEUED_COST * (double)endpoint->report.waiting;
-	if (endpoint->report.unreachable)
+	if (endpoint->report.suspect)
 		first *= UNREACHABLE_COST;
 	first *= 1 + FAILING_COST * endpoint->latency.failure_rate;
 	first *= 1 + RANDOM_COST * random_fraction(request->random_bits,
--- a/src/registry.c
+++ b/src/registry.c
@@ -141,7 +141,7 @@
 
 	endpoint->report = *report;
 	endpoint->own_running_at_report = endpoint->running;
-	endpoint->report_at = at;
+	endpoint->report_received_at = at;
 	/*
 	 * The owner's event gap is based on reports from all hosts; this host
 	 * has seen only a few streams.
--- a/src/registry.h
+++ b/src/registry.h
@@ -21,7 +21,7 @@
 	 * The owner could not reach the endpoint and has had no answer from it
 	 * since, or the endpoint fails too often.
 	 */
-	bool unreachable;
+	bool suspect;
 } registry_report_t;
 
 typedef struct registry_endpoint {
@@ -49,16 +49,19 @@
 	/* Pending prompt tokens from other hosts, as last reported. */
 	uint32_t remote_prompt_tokens;
 	registry_report_t report;
-	uint32_t own_running_at_report; /* this host's requests at report_at */
-	pimento_usec_t report_at; /* arrival of the owner's report; 0: none */
+	/* This host's requests in flight at report_received_at. */
+	uint32_t own_running_at_report;
+	/* Arrival of the owner's report; 0: none. */
+	pimento_usec_t report_received_at;
 	/* The owner did not reply in time; no slot requests until then. */
 	pimento_usec_t owner_unresponsive_until;
-	uint32_t owner; /* cached address of the owner, valid for owner_epoch */
-	/* Change count of owners for which owner is valid; 0: none. */
-	uint64_t owner_epoch;
-	uint32_t reported_running; /* value of running last sent to the owner */
+	/* Cached address of the owner, valid for owner_change_count. */
+	uint32_t owner;
+	/* 1 + peers_owner_changes() when owner was computed; 0: never. */
+	uint64_t owner_change_count;
+	uint32_t sent_running; /* value of running last sent to the owner */
 	/* Last report from this host to the owner; 0: report is due now. */
-	pimento_usec_t reported_at;
+	pimento_usec_t running_sent_at;
 	latency_model_t latency;
 	uint32_t idle_connections; /* open connections without a request */
 	void *connections; /* connection pool, private to the I/O layer */
--- a/src/replica.c
+++ b/src/replica.c
@@ -120,7 +120,7 @@
 		record = insert_record(replica, at, key);
 	if (!record)
 		return PIMENTO_ENOMEM;
-	record->seen = value != NULL;
+	record->listed = value != NULL;
 	if (revision <= record->revision) {
 		advance_revision(replica, revision);
 		return 0;
@@ -162,14 +162,14 @@
 	record->compressed_length = length;
 }
 
-void replica_list_begin(replica_t *replica)
+void replica_batch_begin(replica_t *replica)
 {
 	replica->applying_batch = true;
 	for (uint32_t i = 0; i < replica->count; i++)
-		replica->records[i].seen = false;
+		replica->records[i].listed = false;
 }
 
-void replica_list_cancel(replica_t *replica)
+void replica_batch_cancel(replica_t *replica)
 {
 	replica->applying_batch = false;
 }
@@ -186,12 +186,12 @@
 		replica_record_t *record = &replica->records[i];
 		int error;
 
-		if (record->seen || !record->value ||
+		if (record->listed || !record->value ||
 		    record->revision > revision)
 			continue;
 		error = replica_put(replica, record->key, NULL, 0, revision);
 		if (error) {
-			replica_list_cancel(replica);
+			replica_batch_cancel(replica);
 			return error;
 		}
 	}
--- a/src/replica.h
+++ b/src/replica.h
@@ -33,7 +33,7 @@
 	char *compressed; /* cached compressed value, or NULL */
 	size_t compressed_length;
 	uint64_t revision;
-	bool seen; /* present in the full listing that is being applied */
+	bool listed; /* present in the full listing that is being applied */
 } replica_record_t;
 
 typedef struct replica {
@@ -87,21 +87,21 @@
 
 /*
  * Applies a full listing of the collection: call replica_put() for each listed
- * record between replica_list_begin() and replica_list_end(). The end removes
+ * record between replica_batch_begin() and replica_list_end(). The end removes
  * all records that were not listed and are not newer than revision. Listed
  * records may be newer than revision, but the replica counts as complete only
  * up to revision. Returns 0 or PIMENTO_ENOMEM; an error leaves the revision of
  * the replica unchanged.
  */
-void replica_list_begin(replica_t *replica);
+void replica_batch_begin(replica_t *replica);
 int replica_list_end(replica_t *replica, uint64_t revision);
 /*
- * Ends a batch, begun with replica_list_begin(), that holds all changes from the
+ * Ends a batch, begun with replica_batch_begin(), that holds all changes from the
  * replica's revision up to this one. Records missing from the batch are kept.
  */
 void replica_changes_end(replica_t *replica, uint64_t revision);
 /* Ends an incomplete batch without advancing the replica's revision. */
-void replica_list_cancel(replica_t *replica);
+void replica_batch_cancel(replica_t *replica);
 
 /*
  * Records that a read of the store that began at start covered all changes up to
--- a/src/snapshot.c
+++ b/src/snapshot.c
@@ -136,12 +136,12 @@
 
 static int apply_records(replica_t *replica, const Peer__Snapshot *snapshot)
 {
-	replica_list_begin(replica);
+	replica_batch_begin(replica);
 	for (size_t i = 0; i < snapshot->n_records; i++) {
 		int error = put_record(replica, snapshot->records[i]);
 
 		if (error) {
-			replica_list_cancel(replica);
+			replica_batch_cancel(replica);
 			return error;
 		}
 	}
--- a/test/fuzz_snapshot.c
+++ b/test/fuzz_snapshot.c
@@ -6,7 +6,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size);
 
-static void ignore(void *context, const replica_record_t *record)
+static void ignore_change(void *context, const replica_record_t *record)
 {
 	(void)context;
 	(void)record;
@@ -18,7 +18,7 @@
 	uint8_t *bytes;
 	size_t length;
 
-	replica_init(&replica, ignore, NULL);
+	replica_init(&replica, ignore_change, NULL);
 	snapshot_apply(&replica, data, size);
 	if (snapshot_pack(&replica, 0, &bytes, &length))
 		abort();
--- a/test/test_replica.c
+++ b/test/test_replica.c
@@ -9,7 +9,7 @@
 static replica_t replica;
 static uint32_t changes;
 
-static void changed(void *context, const replica_record_t *record)
+static void count_change(void *context, const replica_record_t *record)
 {
 	(void)context;
 	(void)record;
@@ -19,7 +19,7 @@
 static void setup(void)
 {
 	changes = 0;
-	replica_init(&replica, changed, NULL);
+	replica_init(&replica, count_change, NULL);
 }
 
 static void teardown(void)
@@ -34,7 +34,7 @@
 			 0);
 }
 
-static const char *value_of(const char *key)
+static const char *find_value(const char *key)
 {
 	for (uint32_t i = 0; i < replica.count; i++)
 		if (!strcmp(replica.records[i].key, key))
@@ -51,9 +51,9 @@
 {
 	put("op/config", "new", 9);
 	put("op/config", "old", 8);
-	ck_assert_str_eq(value_of("op/config"), "new");
+	ck_assert_str_eq(find_value("op/config"), "new");
 	put("op/config", NULL, 8);
-	ck_assert_str_eq(value_of("op/config"), "new");
+	ck_assert_str_eq(find_value("op/config"), "new");
 	ck_assert_uint_eq(changes, 1);
 	ck_assert_uint_eq(replica.revision, 9);
 }
@@ -69,7 +69,7 @@
 	put("servers/a", "here", 5);
 	put("servers/a", NULL, 6);
 	put("servers/a", "here", 5);
-	ck_assert_ptr_null(value_of("servers/a"));
+	ck_assert_ptr_null(find_value("servers/a"));
 }
 END_TEST
 
@@ -78,11 +78,11 @@
 {
 	put("servers/a", "1", 1);
 	put("servers/b", "1", 2);
-	replica_list_begin(&replica);
+	replica_batch_begin(&replica);
 	put("servers/b", "1", 2);
 	ck_assert_int_eq(replica_list_end(&replica, 4), 0);
-	ck_assert_ptr_null(value_of("servers/a"));
-	ck_assert_str_eq(value_of("servers/b"), "1");
+	ck_assert_ptr_null(find_value("servers/a"));
+	ck_assert_str_eq(find_value("servers/b"), "1");
 }
 END_TEST
 
@@ -94,17 +94,17 @@
 START_TEST(listing_keeps_newer_records)
 {
 	put("servers/new", "1", 9);
-	replica_list_begin(&replica);
+	replica_batch_begin(&replica);
 	put("servers/b", "1", 2);
 	ck_assert_int_eq(replica_list_end(&replica, 4), 0);
-	ck_assert_str_eq(value_of("servers/new"), "1");
+	ck_assert_str_eq(find_value("servers/new"), "1");
 }
 END_TEST
 
 /* Guards against losing a change made between two pages of a listing. */
 START_TEST(listing_is_complete_up_to_first_page)
 {
-	replica_list_begin(&replica);
+	replica_batch_begin(&replica);
 	put("servers/a", "read before it changed at 6", 2);
 	put("servers/b", "1", 9);
 	ck_assert_int_eq(replica_list_end(&replica, 4), 0);
--- a/test/test_snapshot.c
+++ b/test/test_snapshot.c
@@ -13,14 +13,14 @@
 static replica_t target;
 static uint32_t changes; /* changes applied to the target replica */
 
-static void count(void *context, const replica_record_t *record)
+static void count_change(void *context, const replica_record_t *record)
 {
 	(void)context;
 	(void)record;
 	changes++;
 }
 
-static void ignore(void *context, const replica_record_t *record)
+static void ignore_change(void *context, const replica_record_t *record)
 {
 	(void)context;
 	(void)record;
@@ -29,8 +29,8 @@
 static void setup(void)
 {
 	changes = 0;
-	replica_init(&source, ignore, NULL);
-	replica_init(&target, count, NULL);
+	replica_init(&source, ignore_change, NULL);
+	replica_init(&target, count_change, NULL);
 }
 
 static void teardown(void)
@@ -47,7 +47,7 @@
 			 0);
 }
 
-static const char *value_of(const replica_t *replica, const char *key)
+static const char *find_value(const replica_t *replica, const char *key)
 {
 	for (uint32_t i = 0; i < replica->count; i++)
 		if (!strcmp(replica->records[i].key, key))
@@ -59,7 +59,7 @@
  * Sends a snapshot from source to target. Returns the result of
  * snapshot_apply() and sets length to the encoded size in bytes.
  */
-static int transfer(size_t *length)
+static int transfer_snapshot(size_t *length)
 {
 	uint8_t *bytes;
 	int result;
@@ -94,13 +94,13 @@
 
 	put(&source, "config", large, 1);
 	put(&source, "a", "here", 2);
-	ck_assert_int_eq(transfer(&length), 2);
-	ck_assert_str_eq(value_of(&target, "config"), large);
+	ck_assert_int_eq(transfer_snapshot(&length), 2);
+	ck_assert_str_eq(find_value(&target, "config"), large);
 	ck_assert_uint_lt(length, LARGE_BYTES / 2);
 	put(&source, "a", "leaving", 3);
-	ck_assert_int_eq(transfer(&length), 1);
+	ck_assert_int_eq(transfer_snapshot(&length), 1);
 	ck_assert_uint_lt(length, 100);
-	ck_assert_str_eq(value_of(&target, "a"), "leaving");
+	ck_assert_str_eq(find_value(&target, "a"), "leaving");
 	ck_assert_uint_eq(target.revision, 3);
 	ck_assert_uint_eq(changes, 3);
 	free(large);
@@ -113,8 +113,8 @@
 	size_t length;
 
 	put(&source, "a", "", 1);
-	ck_assert_int_eq(transfer(&length), 1);
-	ck_assert_str_eq(value_of(&target, "a"), "");
+	ck_assert_int_eq(transfer_snapshot(&length), 1);
+	ck_assert_str_eq(find_value(&target, "a"), "");
 }
 END_TEST
 
@@ -125,11 +125,11 @@
 
 	put(&source, "a", "1", 1);
 	put(&source, "b", "1", 2);
-	transfer(&length);
+	transfer_snapshot(&length);
 	put(&source, "a", NULL, 3);
-	ck_assert_int_eq(transfer(&length), 1);
-	ck_assert_ptr_null(value_of(&target, "a"));
-	ck_assert_str_eq(value_of(&target, "b"), "1");
+	ck_assert_int_eq(transfer_snapshot(&length), 1);
+	ck_assert_ptr_null(find_value(&target, "a"));
+	ck_assert_str_eq(find_value(&target, "b"), "1");
 }
 END_TEST
 
@@ -147,17 +147,17 @@
 	size_t length;
 
 	put(&target, "a", "1", listing_cases[_i].held);
-	replica_list_begin(&source);
+	replica_batch_begin(&source);
 	put(&source, "b", "1", 5);
 	ck_assert_int_eq(replica_list_end(&source, 7), 0);
 	put(&source, "c", "1", 8);
-	ck_assert_int_gt(transfer(&length), 0);
+	ck_assert_int_gt(transfer_snapshot(&length), 0);
 	ck_assert_uint_eq(target.revision, 8);
-	ck_assert_int_eq(value_of(&target, "a") != NULL,
+	ck_assert_int_eq(find_value(&target, "a") != NULL,
 			 listing_cases[_i].kept);
-	ck_assert_int_eq(value_of(&target, "b") != NULL,
+	ck_assert_int_eq(find_value(&target, "b") != NULL,
 			 !listing_cases[_i].kept);
-	ck_assert_str_eq(value_of(&target, "c"), "1");
+	ck_assert_str_eq(find_value(&target, "c"), "1");
 }
 END_TEST
 
@@ -169,13 +169,13 @@
 {
 	size_t length;
 
-	replica_list_begin(&source);
+	replica_batch_begin(&source);
 	put(&source, "a", "1", 2);
 	put(&source, "b", "1", 9);
 	ck_assert_int_eq(replica_list_end(&source, 4), 0);
-	ck_assert_int_eq(transfer(&length), 1);
+	ck_assert_int_eq(transfer_snapshot(&length), 1);
 	ck_assert_uint_eq(target.revision, 4);
-	ck_assert_ptr_null(value_of(&target, "b"));
+	ck_assert_ptr_null(find_value(&target, "b"));
 }
 END_TEST
 
@@ -186,9 +186,9 @@
 
 	put(&source, "a", "1", 4);
 	put(&target, "b", "1", 4);
-	ck_assert_int_ge(transfer(&length), 0);
-	ck_assert_str_eq(value_of(&target, "b"), "1");
-	ck_assert_ptr_null(value_of(&target, "a"));
+	ck_assert_int_ge(transfer_snapshot(&length), 0);
+	ck_assert_str_eq(find_value(&target, "b"), "1");
+	ck_assert_ptr_null(find_value(&target, "a"));
 }
 END_TEST
 
@@ -207,8 +207,8 @@
 	ck_assert_uint_eq(target.revision, 0);
 	ck_assert_int_lt(snapshot_apply(&target, bytes, length / 2), 0);
 	free(bytes);
-	ck_assert_int_gt(transfer(&length), 0);
-	ck_assert_str_eq(value_of(&target, "config"), large);
+	ck_assert_int_gt(transfer_snapshot(&length), 0);
+	ck_assert_str_eq(find_value(&target, "config"), large);
 	free(large);
 }
 END_TEST
@@ -220,7 +220,7 @@
 	size_t length;
 
 	put(&source, "config", large, 1);
-	transfer(&length);
+	transfer_snapshot(&length);
 	ck_assert_ptr_nonnull(target.records[0].compressed);
 	ck_assert_uint_eq(target.records[0].compressed_length,
 			  source.records[0].compressed_length);
