--- a/src/entry.h
+++ b/src/entry.h
@@ -39,27 +39,34 @@
 	entry_state_t state;
 	uint32_t generation;
 	pimento_reqid_t id;
-	pimento_request_t request; /* with key set to NULL */
+	/* as submitted, but with its pointer key set to NULL */
+	pimento_request_t request;
 	pimento_usec_t arrived_at;
 	pimento_usec_t deadline;
 	pimento_usec_t wake_at; /* next time-out of the entry */
 	pimento_usec_t reserve_due; /* next time-out of the reservation */
 	/* Reservation of a slot at an endpoint, made with the endpoint's owner. */
-	uint32_t round; /* number of the reservation, from 1 */
+	uint32_t round; /* sequence number of the current reservation, from 1 */
 	pimento_id_t endpoint;
 	pimento_id_t owner; /* 0: neither a reservation nor a slot is held */
-	uint8_t hops; /* owners tried before, or an OWNER_HOPS_* value */
-	uint64_t epoch; /* of the ownership that granted the slot */
-	pimento_usec_t requested_at; /* last request to the owner; while
-					RESUMING: set until the retry is sent */
+	/* number of owners tried before this one, or an OWNER_HOPS_* value */
+	uint8_t hops;
+	uint64_t epoch; /* epoch of the owner when it granted the slot */
+	/*
+	 * when the owner was last sent a request; while RESUMING: nonzero until
+	 * the retry is sent
+	 */
+	pimento_usec_t requested_at;
 	pimento_usec_t last_reply_at; /* last reply of the owner; 0: none */
 	pimento_usec_t grant_expires_at; /* 0: no grant is held */
 	route_retry_t retry; /* refusals of the request by owners */
 	uint32_t owner_changes; /* refusals because the owner had changed */
-	pimento_usec_t unreachable_since; /* when no endpoint could be reached
-					     for the first time; 0: never */
-	uint32_t resends; /* repeats of the unanswered reservation */
-	pimento_usec_t retry_after; /* span to report if the request fails */
+	/* when the request first found no reachable endpoint; 0: never */
+	pimento_usec_t unreachable_since;
+	/* times that the unanswered reservation was sent again */
+	uint32_t resends;
+	/* retry delay to report to the caller if the request fails */
+	pimento_usec_t retry_after;
 	/* Dispatch to the endpoint. */
 	pimento_usec_t sent_at;
 	pimento_usec_t first_token_at; /* 0: none has arrived */
@@ -109,7 +116,7 @@
 	uint32_t high_water; /* entries from this index on were never used */
 	uint64_t next_id;
 	uint64_t next_sequence; /* next free number for claim messages */
-	double retry_budget; /* retries of requests available now */
+	double retry_budget; /* number of retries that may be made now */
 	pimento_usec_t next_wake; /* earliest wake_at of all entries */
 	pimento_action_t *actions; /* ring buffer of actions to perform */
 	uint32_t action_head;
--- a/src/entry_claim.c
+++ b/src/entry_claim.c
@@ -60,9 +60,10 @@
 		return;
 	}
 	/*
-	 * In CLAIM_TAKEN the claim was won for an endpoint that could not be
-	 * reached; it is kept and only the endpoint in it changes. While the
-	 * query is unanswered, on_key_unclaimed() requests the claim later.
+	 * A claim in CLAIM_TAKEN was won for an endpoint that could not be
+	 * reached. It is kept, and only the endpoint in it is changed. While
+	 * the witnesses have not answered the query, on_key_unclaimed()
+	 * requests the claim later.
 	 */
 	if (entry->claim->state == CLAIM_AVAILABLE ||
 	    entry->claim->state == CLAIM_TAKEN)
@@ -171,7 +172,10 @@
 		return;
 	case CLAIM_MISMATCH:
 		entry_release(table, entry, RELEASE_UNUSED);
-		/* Which body has run is certain only once the outcome is known. */
+		/*
+		 * A request with another body holds the key. Only once its
+		 * outcome is known is it certain that this request has not run.
+		 */
 		entry_refuse(table, entry,
 			     entry->claim->held.done ? PIMENTO_NOT_RUN
 						     : PIMENTO_MAY_HAVE_RUN,
@@ -206,7 +210,10 @@
 	}
 	if (age != CLAIM_AGE_UNKNOWN)
 		age += now - entry->arrived_at;
-	/* Keep the attempt: another host may have reported it as "not run". */
+	/*
+	 * Keep the number of the key's attempt: another host may have reported
+	 * that attempt as "not run".
+	 */
 	entry->request.attempt = entry->claim->attempt;
 	entry_start_claim(table, now, entry, &witnesses, age);
 	entry_schedule(table, entry, claim_deadline(entry->claim));
--- a/src/entry_internal.h
+++ b/src/entry_internal.h
@@ -2,7 +2,7 @@
 #define ENTRY_INTERNAL_H
 
 /*
- * Steps in the life of a request, shared by entry.c, entry_reserve.c and
+ * Functions on a request in progress, shared by entry.c, entry_reserve.c and
  * entry_claim.c. No other file uses them.
  */
 
@@ -18,12 +18,17 @@
 /* Sets the next time-out of an entry; a query of its claim may be due earlier. */
 void entry_schedule(entry_table_t *table, entry_t *entry, pimento_usec_t at);
 
-/* Ends a request with its final answer, an error, and frees the entry. */
+/*
+ * Answers a request's caller with an error, which ends the request, and frees
+ * its entry.
+ */
 void entry_refuse(entry_table_t *table, entry_t *entry,
 		  pimento_verdict_t verdict, int error,
 		  pimento_usec_t retry_after);
 
-/* Frees an entry, once its claim has nothing more to report to witnesses. */
+/*
+ * Frees an entry as soon as its claim has nothing more to report to witnesses.
+ */
 void entry_free(entry_table_t *table, entry_t *entry);
 
 /* Queues a RESUME action for the stream resume_stream at resume_endpoint. */
@@ -61,10 +66,13 @@
 void entry_abort(entry_table_t *table, pimento_usec_t now, entry_t *entry,
 		 int error, pimento_usec_t retry_after);
 
-/* Continues after a grant: with the dispatch, or the claim of the key first. */
+/*
+ * Continues a request after a slot was granted: dispatches it or, if it has a
+ * key, claims the key first.
+ */
 void entry_on_grant(entry_table_t *table, pimento_usec_t now, entry_t *entry);
 
-/* Continues after an event of the claim protocol. */
+/* Continues a request after an event of its key's claim protocol. */
 void entry_on_claim_event(entry_table_t *table, pimento_usec_t now,
 			  entry_t *entry, claim_event_t event);
 
@@ -75,7 +83,7 @@
 int entry_start_claim(entry_table_t *table, pimento_usec_t now, entry_t *entry,
 		      const witness_set_t *witnesses, pimento_usec_t age);
 
-/* Handles a time-out of the claim protocol. */
+/* Handles a time-out of a request's claim protocol. */
 void entry_claim_tick(entry_table_t *table, pimento_usec_t now, entry_t *entry);
 
 #endif
--- a/src/entry_reserve.c
+++ b/src/entry_reserve.c
@@ -9,7 +9,10 @@
 
 #include <string.h>
 
-/* An owner replies within one round trip between hosts; this allows for many. */
+/*
+ * Time allowed for an owner's reply. It normally takes one round trip between
+ * hosts; this allows for many.
+ */
 #define RESERVE_TIMEOUT (150 * PIMENTO_MSEC)
 #define RESERVE_RESENDS_MAX 2
 /*
@@ -28,7 +31,7 @@
 #define UNREACHABLE_WAIT_MAX (3 * PIMENTO_SEC)
 #define OWNER_CHANGES_MAX 50
 
-/* Sets the reservation's time-out; the key's claim keeps one of its own. */
+/* Sets the reservation's time-out; the key's claim has its own. */
 static void schedule_reserve(entry_table_t *table, entry_t *entry,
 			     pimento_usec_t at)
 {
@@ -275,7 +278,10 @@
 	outbox_put(table->out, from, &message);
 }
 
-/* Returns the entry that awaits this owner's reply in this round, or NULL. */
+/*
+ * Returns the entry that awaits a reply of the owner `from` to its reservation
+ * number `round`, or NULL.
+ */
 static entry_t *find_waiting_entry(entry_table_t *table, pimento_id_t from,
 				   pimento_reqid_t id, uint32_t round)
 {
@@ -407,7 +413,7 @@
 	entry_send_progress(table, now, entry);
 }
 
-/* Nothing was sent to the endpoint, so the slot is reserved anew. */
+/* Nothing was sent to the endpoint, so a slot can be reserved anew. */
 static void move_reservation(entry_table_t *table, pimento_usec_t now,
 			     entry_t *entry, pimento_id_t owner)
 {
--- a/src/host.c
+++ b/src/host.c
@@ -11,7 +11,10 @@
 #include <string.h>
 
 #define OUTBOX_CAPACITY 8192
-/* Interval of load digests that an owner sends, and peers that get each one. */
+/*
+ * Interval at which an owner sends load digests, and number of peers that each
+ * digest is sent to.
+ */
 #define DIGEST_PERIOD (500 * PIMENTO_MSEC)
 #define DIGEST_FANOUT 4
 /* Witnesses named in an issued idempotency key. */
@@ -32,8 +35,11 @@
  * configuration is not modified after parsing.
  */
 typedef struct refcounted_config {
-	pimento_config_t
-		config; /* first: pointers to it are cast to this type */
+	/*
+	 * must be the first member: pointers to it are cast to
+	 * refcounted_config_t
+	 */
+	pimento_config_t config;
 	atomic_uint refs;
 } refcounted_config_t;
 
@@ -244,7 +250,10 @@
 		if (old)
 			endpoints[i] = *old;
 		endpoints[i].config = &config->endpoints[i];
-		/* Differs from any share: passes the new settings to owner.c. */
+		/*
+		 * No endpoint has this share, so the new settings will be
+		 * passed to owner.c.
+		 */
 		endpoints[i].share = 0;
 	}
 	free(host->endpoints);
@@ -332,7 +341,10 @@
 	return PIMENTO_OK;
 }
 
-/* Validates the texts that were received completely, and applies valid ones. */
+/*
+ * Validates each configuration or host list that has been received completely,
+ * and applies it if valid.
+ */
 static int apply_pending_updates(pimento_host_t *host, pimento_usec_t now)
 {
 	static const config_sync_subject_t subjects[] = { CONFIG_SYNC_HOSTS,
--- a/src/host.h
+++ b/src/host.h
@@ -19,7 +19,8 @@
 typedef struct host_endpoint {
 	const config_endpoint_t *config;
 	pimento_id_t owner;
-	uint64_t epoch; /* of this host's ownership, if it owns the endpoint */
+	/* epoch of this host's ownership; only valid if it owns the endpoint */
+	uint64_t epoch;
 	double share; /* share of the endpoint's capacity passed to owner.c */
 } host_endpoint_t;
 
@@ -49,7 +50,8 @@
 	pimento_usec_t started;
 	pimento_usec_t now; /* time passed to the latest call of the host */
 	pimento_usec_t next_digest;
-	uint32_t digest_start; /* index of the next digest's first endpoint */
+	/* index of the first endpoint in the next load digest */
+	uint32_t digest_start;
 	uint32_t config_switches; /* configurations put into force */
 	bool leaving;
 	bool config_changed; /* CONFIG_CHANGED action is pending */
--- a/test/gossip_sim.c
+++ b/test/gossip_sim.c
@@ -227,7 +227,10 @@
 		config_sync_revision(&h->config_sync, CONFIG_SYNC_CONFIG);
 	h->membership.hosts_revision =
 		config_sync_revision(&h->config_sync, CONFIG_SYNC_HOSTS);
-	/* A stale platform confirms too, as a host cannot detect staleness. */
+	/*
+	 * A read of a stale platform confirms the host's state too, because the
+	 * host cannot detect staleness.
+	 */
 	membership_platform_read_done(&h->membership, sim->now, sim->now);
 }
 
--- a/test/gossip_sim.h
+++ b/test/gossip_sim.h
@@ -21,7 +21,7 @@
 	pimento_id_t id;
 	uint64_t incarnation;
 	bool up;
-	uint8_t partition; /* hosts of different numbers cannot communicate */
+	uint8_t partition; /* hosts with different values cannot communicate */
 	uint8_t datacentre;
 	pimento_usec_t paused_at;
 	pimento_usec_t paused_until; /* 0: not paused */
@@ -60,8 +60,10 @@
 	double slow_message_chance; /* share of messages that are delayed by up
 				       to a second more */
 	bool platform_down;
-	bool platform_stale; /* returns the texts published before the last */
-	uint64_t revisions[2]; /* published revisions, by subject - 1 */
+	/* reads return the previous texts instead of the latest */
+	bool platform_stale;
+	/* latest revision of each document, indexed by subject - 1 */
+	uint64_t revisions[2];
 	char *texts[2];
 	char *previous_texts[2];
 	uint64_t platform_reads;
@@ -94,19 +96,19 @@
  */
 char *gossip_sim_make_config(gossip_sim_t *gossip_sim, size_t size);
 
-/* Counts hosts that are up and have the published revision in force. */
+/* Counts running hosts on which the latest published revision is in force. */
 uint32_t gossip_sim_count_updated_hosts(const gossip_sim_t *gossip_sim,
 					config_sync_subject_t subject);
 uint32_t gossip_sim_count_running_hosts(const gossip_sim_t *gossip_sim);
 
 /*
- * Counts pairs of hosts where the first, which is up, holds a wrong state of
- * the second: not dead or unknown for one that is down, or not the state that
- * one that is up has for itself.
+ * Counts wrong entries in the member tables of the running hosts: a stopped
+ * host must be dead or unknown there, and a running host must have the state
+ * that it has in its own table.
  */
 uint32_t gossip_sim_count_wrong_states(const gossip_sim_t *gossip_sim);
 
-/* Counts hosts that are up and have not detected that dead_host is dead. */
+/* Counts running hosts that still consider dead_host live or suspect. */
 uint32_t gossip_sim_count_unaware_hosts(const gossip_sim_t *gossip_sim,
 					uint32_t dead_host);
 
--- a/test/netsim.c
+++ b/test/netsim.c
@@ -33,7 +33,8 @@
 	netsim_event_kind_t kind;
 	pimento_usec_t due;
 	uint32_t host;
-	uint64_t incarnation; /* of the host, to drop events after a restart */
+	/* incarnation of the host; an event of an earlier one is dropped */
+	uint64_t incarnation;
 	pimento_id_t from;
 	message_t *message;
 	pimento_action_t action;
@@ -47,13 +48,17 @@
 	uint32_t host;
 	uint64_t incarnation;
 	int key; /* index into keys; -1: none */
-	uint32_t attempt; /* of the key, at the commit or refusal */
+	/*
+	 * attempt number of the key when the request was committed or refused
+	 */
+	uint32_t attempt;
 	uint32_t commits;
 	bool answered;
 	bool caller_disconnected;
 	bool not_run; /* the caller was told that the request has not run */
-	pimento_usec_t run_ends_at; /* end at the endpoint; 0: never ran */
-	pimento_id_t endpoint; /* that runs the request */
+	/* when the request ends at the endpoint; 0: it never ran */
+	pimento_usec_t run_ends_at;
+	pimento_id_t endpoint; /* endpoint that runs the request */
 } tracked_request_t;
 
 typedef struct netsim_host {
--- a/test/netsim.h
+++ b/test/netsim.h
@@ -18,7 +18,8 @@
 typedef struct netsim_faults {
 	double loss; /* share of messages lost */
 	double duplication; /* share of messages delivered twice */
-	pimento_usec_t delay_max; /* of a tenth of the messages; 0: no delays */
+	/* longest extra delay, drawn for a tenth of the messages; 0: none */
+	pimento_usec_t delay_max;
 	double connect_refused; /* share of connections that endpoints refuse */
 	double disconnect; /* share of exchanges that break after the commit */
 	double crash; /* probability per host and virtual second */
@@ -42,7 +43,8 @@
 	uint64_t refused[3]; /* indexed by pimento_verdict_t */
 	uint64_t replayed;
 	uint64_t resumed;
-	uint64_t unanswered; /* by hosts that have not crashed; must be zero */
+	/* requests that a host without a crash never answered; must be 0 */
+	uint64_t unanswered;
 } netsim_counts_t;
 
 typedef struct netsim netsim_t;
--- a/test/test_gossip.c
+++ b/test/test_gossip.c
@@ -15,7 +15,10 @@
 #define RECOVERY_SPAN (90 * PIMENTO_SEC)
 #define ENDPOINTS 200
 
-/* What one host was last observed to know about another host's leaving. */
+/*
+ * One host's view of another when last checked: the incarnations of both, and
+ * whether the other was leaving.
+ */
 typedef struct observation {
 	uint64_t observer;
 	uint64_t incarnation;
