--- a/src/catalog.h
+++ b/src/catalog.h
@@ -94,7 +94,10 @@
 /* Returns an empty version with one reference, or NULL if out of memory. */
 catalog_t *catalog_new(uint64_t version);
 catalog_t *catalog_retain(catalog_t *catalog);
-/* Drops a reference and frees the version with the last one; NULL is allowed. */
+/*
+ * Releases a reference to a configuration version, which is freed with its last
+ * reference. NULL is allowed.
+ */
 void catalog_release(catalog_t *catalog);
 
 /*
--- a/src/delta.c
+++ b/src/delta.c
@@ -159,9 +159,10 @@
 }
 
 /*
- * Finds the bytes of the base to copy next. Tries the expected offset, after the
- * end of the last copy, first: if only a few tokens have changed in between,
- * this finds the right one of many equal tokens.
+ * Finds a match for the start of text in the base: sets *from to its offset and
+ * returns its length. Tries the expected offset, after the end of the last
+ * copy, first: if only a few tokens have changed in between, this finds the
+ * right one of many equal tokens.
  */
 static size_t find_base_match(const token_table_t *table, const char *base,
 			      size_t base_length, const char *text,
--- a/src/endpoint.c
+++ b/src/endpoint.c
@@ -16,7 +16,10 @@
  * one, is reserved for tier 0.
  */
 #define URGENT_RESERVE_DIVISOR 8
-/* No slot is reserved for tier 0 if one is expected to free up sooner. */
+/*
+ * No slot is reserved for tier 0 if one is expected to become free within this
+ * time.
+ */
 #define URGENT_RESERVE_WAIT_MIN (100 * PIMENTO_MSEC)
 /*
  * Requests of tiers other than 0 are granted only while the engine needs at most
@@ -44,7 +47,10 @@
  * the estimate still to come.
  */
 #define REMAINING_TOKENS_DIVISOR 10
-/* Covers the time until the next progress report on the request is due. */
+/*
+ * Time for which grants are suspended when the engine's memory is full: it
+ * covers the time until the next progress report on the request is due.
+ */
 #define MEMORY_FULL_HOLD_TIME (1500 * PIMENTO_MSEC)
 /* Estimated time until an answer ends and frees memory of a full engine. */
 #define MEMORY_FULL_WAIT (5 * PIMENTO_SEC)
@@ -368,7 +374,8 @@
 	summary->waiting_tokens = e->prefill_tokens;
 	summary->prefill_rate = (float)limit_prefill_rate(&e->limit);
 	summary->decode_rate = (float)limit_decode_rate(&e->limit);
-	if (e->limit.service_mean > 0) /* plain service: answers per second */
+	/* a plain service, whose decode_rate is in answers per second */
+	if (e->limit.service_mean > 0)
 		summary->decode_rate = (float)(1 / e->limit.service_mean);
 	summary->leaving = e->leaving;
 }
--- a/src/endpoint.h
+++ b/src/endpoint.h
@@ -25,16 +25,19 @@
 	uint64_t in_flight_tokens; /* tokens of prompts and estimated answers */
 	uint32_t external_running; /* requests not granted by this owner */
 	pimento_usec_t external_running_until; /* expiry of external_running */
-	/* Until when the engine's memory is assumed to be full of tokens. */
+	/* The engine's token memory is assumed to be full until this time. */
 	pimento_usec_t memory_full_until;
 	/*
 	 * Maximum of running in the current window. Load reports may describe
 	 * an earlier moment, so they are compared with the recent maximum.
 	 */
 	uint32_t peak;
-	uint32_t previous_peak; /* maximum of running in the window before */
+	uint32_t previous_peak; /* maximum of running in the previous window */
 	pimento_usec_t peak_window_start;
-	/* Until when requests less urgent than a tier are not queued, by tier. */
+	/*
+	 * Requests less urgent than a tier are not queued until this time;
+	 * indexed by tier.
+	 */
 	pimento_usec_t tier_floor_until[PIMENTO_TIERS_MAX];
 };
 
@@ -64,18 +67,24 @@
 pimento_usec_t endpoint_service_time(const owner_endpoint_t *endpoint,
 				     const message_reserve_t *request);
 
-/* Part of the endpoint's time that the request would consume. */
+/* Share of the endpoint's processing time that the request would use. */
 pimento_usec_t endpoint_busy_time(const owner_endpoint_t *endpoint,
 				  const message_reserve_t *request);
 
-/* Estimated wait until the grant of a request of this tier queued now. */
+/*
+ * Estimated time that a request of this tier, if queued now, would wait for its
+ * grant.
+ */
 pimento_usec_t endpoint_wait_time(const owner_endpoint_t *endpoint,
 				  pimento_usec_t now, uint8_t tier);
 
 /* Load at the endpoint, scaled to the owner's share of the token limit. */
 limit_load_t endpoint_load(const owner_endpoint_t *endpoint);
 
-/* Adds a reservation to those in flight, and removes it. */
+/*
+ * endpoint_add_reservation() adds a reservation to those in flight, and
+ * endpoint_remove_reservation() removes it.
+ */
 void endpoint_add_reservation(owner_endpoint_t *endpoint, pimento_usec_t now,
 			      reservation_t *r);
 void endpoint_remove_reservation(owner_endpoint_t *endpoint, reservation_t *r);
--- a/src/progress.h
+++ b/src/progress.h
@@ -11,7 +11,11 @@
 
 typedef struct progress {
 	pimento_usec_t started;
-	pimento_usec_t last_received; /* start time before the first byte */
+	/*
+	 * when the last byte arrived; before the first one, when the transfer
+	 * began
+	 */
+	pimento_usec_t last_received;
 	size_t bytes; /* received so far */
 } progress_t;
 
--- a/src/registry.h
+++ b/src/registry.h
@@ -40,27 +40,33 @@
 	bool leaving; /* accepts no new requests */
 	/* When an unlisted endpoint stops accepting requests; 0: listed. */
 	pimento_usec_t removal_at;
-	uint32_t refs; /* requests and connections that refer here */
+	uint32_t refs; /* requests and connections that refer to this entry */
 	uint32_t running; /* requests in flight from this host */
 	/* Prompt tokens of this host's requests without an answer so far. */
 	uint32_t pending_prompt_tokens;
 	/* Requests in flight from other hosts, as last reported. */
 	uint32_t remote_running;
-	/* Pending prompt tokens from other hosts, as last reported. */
+	/*
+	 * Prompt tokens of other hosts' requests without an answer so far, as
+	 * last reported.
+	 */
 	uint32_t remote_prompt_tokens;
 	registry_report_t report;
 	/* This host's requests in flight at report_received_at. */
 	uint32_t own_running_at_report;
 	/* Arrival of the owner's report; 0: none. */
 	pimento_usec_t report_received_at;
-	/* The owner did not reply in time; no slot requests until then. */
+	/*
+	 * The owner did not reply in time: no slot requests are sent to it
+	 * until this time.
+	 */
 	pimento_usec_t owner_unresponsive_until;
 	/* Cached address of the owner, valid for owner_change_count. */
 	uint32_t owner;
 	/* 1 + peers_owner_changes() when owner was computed; 0: never. */
 	uint64_t owner_change_count;
 	uint32_t sent_running; /* value of running last sent to the owner */
-	/* Last report from this host to the owner; 0: report is due now. */
+	/* When sent_running was last sent to the owner; 0: it is due now. */
 	pimento_usec_t running_sent_at;
 	latency_model_t latency;
 	uint32_t idle_connections; /* open connections without a request */
--- a/src/replica.h
+++ b/src/replica.h
@@ -96,8 +96,9 @@
 void replica_batch_begin(replica_t *replica);
 int replica_list_end(replica_t *replica, uint64_t revision);
 /*
- * Ends a batch, begun with replica_batch_begin(), that holds all changes from the
- * replica's revision up to this one. Records missing from the batch are kept.
+ * Ends a batch, begun with replica_batch_begin(), that holds all changes after
+ * the replica's revision up to the given one. Records missing from the batch
+ * are kept.
  */
 void replica_changes_end(replica_t *replica, uint64_t revision);
 /* Ends an incomplete batch without advancing the replica's revision. */
--- a/src/snapshot.c
+++ b/src/snapshot.c
@@ -158,7 +158,10 @@
 
 	if (!snapshot)
 		return PIMENTO_EPARSE;
-	/* Records that an older snapshot lacks may have been added since. */
+	/*
+	 * An older snapshot is ignored: records that it lacks may have been
+	 * added after it was made.
+	 */
 	if (snapshot->revision <= replica->revision)
 		result = 0;
 	else if (snapshot->after <= replica->revision)
--- a/src/sse.h
+++ b/src/sse.h
@@ -29,7 +29,10 @@
 int64_t sse_feed(sse_t *sse, const char *bytes, size_t length);
 void sse_consume(sse_t *sse, size_t complete);
 
-/* Discards an incomplete event before the stream is resumed elsewhere. */
+/*
+ * Discards an incomplete event before the stream is resumed at another
+ * endpoint.
+ */
 void sse_discard_partial(sse_t *sse);
 
 #endif
--- a/test/test_replica.c
+++ b/test/test_replica.c
@@ -108,7 +108,8 @@
 	put("servers/a", "read before it changed at 6", 2);
 	put("servers/b", "1", 9);
 	ck_assert_int_eq(replica_list_end(&replica, 4), 0);
-	replica_confirm(&replica, 9, 50); /* by a peer with both changes */
+	/* reported by a peer that has both changes */
+	replica_confirm(&replica, 9, 50);
 	ck_assert_int_eq(replica_age(&replica, 100), PIMENTO_NEVER);
 	put("servers/a", "2", 6);
 	put("servers/b", "1", 9);
@@ -125,7 +126,8 @@
 {
 	ck_assert_int_eq(replica_age(&replica, 100), PIMENTO_NEVER);
 	put("op/config", "x", 5);
-	replica_confirm(&replica, 6, 50); /* of a newer replica */
+	/* a confirmation of a newer replica */
+	replica_confirm(&replica, 6, 50);
 	ck_assert_int_eq(replica_age(&replica, 100), PIMENTO_NEVER);
 	replica_confirm(&replica, 5, 50);
 	ck_assert_int_eq(replica_age(&replica, 100), 50);
--- a/test/test_snapshot.c
+++ b/test/test_snapshot.c
@@ -137,8 +137,9 @@
 	uint64_t held; /* revision of the target replica */
 	bool kept; /* the target keeps the record that was not listed */
 } listing_cases[] = {
-	{ 3, false }, /* source does not know all later removals */
-	{ 7, true }, /* source knows all later removals */
+	/* a removal after revision 3 may be missing from the source */
+	{ 3, false },
+	{ 7, true }, /* the source has every removal after revision 7 */
 };
 
 /* Guards against keeping a record whose removal the sender never received. */
