--- a/src/config_sync.h
+++ b/src/config_sync.h
@@ -40,7 +40,10 @@
 	outbox_t *out;
 	pimento_random_t random;
 	config_sync_document_t *documents; /* one per config_sync_subject_t */
-	/* recently seen peers, to which new revisions are offered */
+	/*
+	 * peers that sent a message recently, to which new revisions are
+	 * offered
+	 */
 	pimento_id_t peers[CONFIG_SYNC_PEERS_MAX];
 	uint32_t peer_next;
 } config_sync_t;
@@ -69,8 +72,8 @@
 			pimento_id_t from, const message_t *message);
 
 /*
- * Records that a peer reported this revision on a probe; pulls it if it is
- * newer.
+ * Records that a peer reported this revision of a document in a probe, ack or
+ * offer; pulls the document if the revision is newer.
  */
 void config_sync_learn_revision(config_sync_t *config_sync, pimento_usec_t now,
 				pimento_id_t from,
@@ -87,8 +90,9 @@
 				uint64_t *revision, size_t *length);
 
 /*
- * accepted: the text is in force from now on. Otherwise it stays rejected at
- * this revision.
+ * Ends the validation of the pending text: if accepted is true the text is in
+ * force from now on, otherwise it is rejected and not fetched again at this
+ * revision.
  */
 void config_sync_resolve_pending(config_sync_t *config_sync, pimento_usec_t now,
 				 config_sync_subject_t subject, bool accepted);
--- a/src/member_table.c
+++ b/src/member_table.c
@@ -15,7 +15,8 @@
 #include <string.h>
 
 #define UPDATE_SENDS 3 /* messages per log2(hosts) that carry an update */
-#define ANTI_ENTROPY_FACTS 2 /* rotating facts on each message */
+/* anti-entropy facts per message, taken from all members in turn */
+#define ANTI_ENTROPY_FACTS 2
 #define VERSION_MAX (1U << 30) /* facts with a higher version are malformed */
 
 uint32_t member_count_log2(uint32_t n)
--- a/src/member_table.h
+++ b/src/member_table.h
@@ -26,7 +26,7 @@
 	uint32_t version;
 	/* membership_t.pauses when the member's last ack was counted */
 	uint32_t acked_pause;
-	/* last message that carried the member's state */
+	/* number of the last message that carried the member's state */
 	uint32_t last_message;
 	uint8_t liveness;
 	/* messages that are still to carry the member's state */
@@ -69,7 +69,7 @@
 void member_merge_fact(membership_t *m, pimento_usec_t now,
 		       const message_fact_t *fact);
 
-/* These add facts to a message as far as it has room. */
+/* The member_put_*() functions add facts to a message as far as it has room. */
 void member_put_facts(message_probe_t *p, const member_t *member);
 void member_put_updates(membership_t *m, message_probe_t *p);
 void member_put_anti_entropy(membership_t *m, message_probe_t *p);
--- a/src/membership.c
+++ b/src/membership.c
@@ -2,7 +2,7 @@
  * SWIM membership (Das, Gupta, Motivala, 2002): one probe per period whatever
  * the size of the fleet, in a shuffled round so that each host is probed within
  * a bounded time; indirect probes before a suspicion, a suspicion before a
- * death, and facts that ride on probes and acks.
+ * death, and facts piggybacked on probes and acks.
  *
  * Dead hosts stay in the round: otherwise the two sides of a healed network
  * partition would consider each other dead for ever.
--- a/src/membership.h
+++ b/src/membership.h
@@ -4,8 +4,9 @@
 /*
  * SWIM membership: the published host list, corrected by failure detection. In
  * each period one host is probed, directly and then through other hosts. Facts
- * (states of hosts and endpoints) ride on probes and acks, so the cost per host
- * does not grow with the fleet. Leaving is final for an incarnation.
+ * (states of hosts and endpoints) are piggybacked on probes and acks, so the
+ * cost per host does not grow with the fleet. Leaving is final for an
+ * incarnation.
  *
  * Facts about one subject are ordered by version, so that two hosts that have
  * received the same facts, in whatever order, hold the same state. Only the
@@ -77,7 +78,8 @@
 	pimento_id_t priority_target;
 
 	uint64_t sequence;
-	uint64_t probe_sequence; /* of the probe that awaits its ack; 0: none */
+	/* sequence number of the probe that awaits its ack; 0: none */
+	uint64_t probe_sequence;
 	pimento_id_t probe_target;
 	pimento_usec_t probe_timeout; /* when to send indirect probes */
 	pimento_usec_t next_probe;
--- a/src/peers.h
+++ b/src/peers.h
@@ -74,7 +74,10 @@
 	uint32_t address; /* sender's IPv4 address, host byte order */
 	uint64_t incarnation;
 	pimento_usec_t stamp; /* time of sending, on the sender's clock */
-	/* last stamp received from the receiver; 0: none */
+	/*
+	 * stamp of the last message that the sender received from the receiver;
+	 * 0: none
+	 */
 	pimento_usec_t echo;
 	/* sender's replicas, by collection */
 	gossip_replica_t replicas[REPLICA_KIND_COUNT];
@@ -193,7 +196,10 @@
  */
 bool peers_has_update_backlog(const peers_t *peers);
 
-/* Fills the poller list of a gossip message; poller: this host is a poller. */
+/*
+ * Fills the poller list of a gossip message; `poller` states whether this host
+ * is a poller.
+ */
 void peers_put_pollers(peers_t *peers, bool poller, pimento_usec_t now,
 		       gossip_message_t *message);
 
@@ -230,9 +236,9 @@
 bool peers_is_default_poller(const peers_t *peers);
 
 /*
- * Whether this host should poll the platform's store. poller: it polls now;
- * draw: a random number. About PEERS_POLLERS hosts poll and pass on what they
- * read; in a smaller fleet all hosts do.
+ * Whether this host should poll the platform's store. `poller` states whether
+ * it polls at present, and `draw` is a random number. About PEERS_POLLERS hosts
+ * poll and pass on what they read; in a smaller fleet all hosts do.
  */
 bool peers_should_poll(const peers_t *peers, bool poller, uint64_t draw,
 		       pimento_usec_t now);
--- a/test/peers_sim.h
+++ b/test/peers_sim.h
@@ -20,7 +20,7 @@
 	bool drops_input; /* the host sends messages, but receives none */
 	/* hosts with different values cannot reach one another */
 	uint8_t partition;
-	/* its reports are sent in gossip messages; NULL: none */
+	/* quota whose reports the host sends in gossip messages; NULL: none */
 	quota_t *quota;
 	uint64_t messages_sent;
 	/* encoded size of the messages sent, if measure_bytes */
@@ -42,7 +42,7 @@
 void peers_sim_init(peers_sim_t *sim, uint32_t count, uint64_t seed);
 void peers_sim_finish(peers_sim_t *sim);
 
-/* Convert the index of a host to its address, and back. */
+/* Convert the index of a host to its address, and an address to an index. */
 uint32_t peers_sim_address(uint32_t host);
 uint32_t peers_sim_host_index(uint32_t address);
 
--- a/test/test_membership.c
+++ b/test/test_membership.c
@@ -206,7 +206,7 @@
 
 static const struct {
 	uint64_t leaving; /* incarnation that reports leaving */
-	uint64_t then; /* incarnation that reports live afterwards */
+	uint64_t then; /* incarnation that reports being live afterwards */
 	host_state_t state;
 } endpoint_cases[] = {
 	{ 0, 0, HOST_LEAVING },
--- a/test/test_peers.c
+++ b/test/test_peers.c
@@ -99,7 +99,7 @@
 		peers_receive(&peers, &message, 200, confirmed_at));
 	ck_assert_ptr_null(peers_receive(&peers, &earlier, 201, confirmed_at));
 	ck_assert_ptr_null(peers_receive(&peers, &message, 202, confirmed_at));
-	/* the peer has restarted: its clock is another */
+	/* the peer has restarted, so its stamps come from a new clock */
 	earlier.incarnation = 2;
 	ck_assert_ptr_nonnull(
 		peers_receive(&peers, &earlier, 203, confirmed_at));
--- a/test/test_peers_fleet.c
+++ b/test/test_peers_fleet.c
@@ -16,9 +16,13 @@
 
 static const struct {
 	uint32_t hosts;
-	/* limit until all hosts know each other after a common start */
+	/*
+	 * time limit for all hosts to learn of each other after a common start
+	 */
 	pimento_usec_t join_time;
-	/* limit until all hosts know of the death of a sixth of them */
+	/*
+	 * time limit for all hosts to learn that a sixth of the hosts has died
+	 */
 	pimento_usec_t death_time;
 } sizes[] = {
 	{ 8, 2 * PIMENTO_SEC, 4 * PIMENTO_SEC },
