--- a/model/claim.pml
+++ b/model/claim.pml
@@ -149,7 +149,7 @@
 	step[e] = s
 }
 
-/* claim.c: decide_seal() */
+/* claim.c: decide_seal_step() */
 inline give_up(e)
 {
 #ifndef ONLY_DISPATCH
@@ -159,7 +159,7 @@
 	begin(e, GIVEN_UP)
 }
 
-/* claim.c: claim_seal(), and decide_take() when it cannot win */
+/* claim.c: claim_seal(), and decide_take_step() when it cannot win */
 inline start_seal(e)
 {
 #ifdef NO_SEAL
--- a/model/live.pml
+++ b/model/live.pml
@@ -123,7 +123,7 @@
 	top[e] = 0
 }
 
-/* claim.c: decide_query(), decide_take(), decide_seal() */
+/* claim.c: decide_query_step(), decide_take_step(), decide_seal_step() */
 #define ENTRY(e) \
 	:: d_step { step[e] == QUERYING && COUNT(answered[e]) >= QUORUM && \
 		    (!held[e] || BARRED(e)) -> \
--- a/src/claim.c
+++ b/src/claim.c
@@ -228,7 +228,7 @@
 	return count >= claim->options.witnesses.quorum;
 }
 
-static bool is_ours(const claim_t *claim, pimento_reqid_t request)
+static bool is_own_dispatch(const claim_t *claim, pimento_reqid_t request)
 {
 	return pimento_reqid_equal(claim->dispatch.id, request);
 }
@@ -244,7 +244,8 @@
 	for (uint32_t i = 0; i < claim->options.witnesses.count; i++) {
 		const claim_report_t *report = &claim->reports[i];
 
-		if (!report->attempt || is_ours(claim, report->dispatch_id))
+		if (!report->attempt ||
+		    is_own_dispatch(claim, report->dispatch_id))
 			continue;
 		if (!report->done && sealed_by_quorum(claim, report->attempt))
 			continue;
@@ -268,7 +269,8 @@
 }
 
 /* Keeps a reported dispatch if it is that of the strongest rival claim. */
-static void record_held(claim_t *claim, const message_dispatch_t *dispatch)
+static void record_rival_dispatch(claim_t *claim,
+				  const message_dispatch_t *dispatch)
 {
 	const claim_report_t *best = strongest_rival(claim);
 
@@ -306,7 +308,7 @@
 	if (report->sealed > claim->sealed)
 		claim->sealed = report->sealed;
 	if (reply->attempt)
-		record_held(claim, &reply->dispatch);
+		record_rival_dispatch(claim, &reply->dispatch);
 }
 
 static bool quorum_agreed(const claim_t *claim)
@@ -359,8 +361,8 @@
  * the replies still missing could show. They are awaited until the first resend
  * only, since a caller should not wait longer for an answer that already exists.
  */
-static claim_event_t decide_query(claim_t *claim, pimento_usec_t now,
-				  bool timed_out, outbox_t *out)
+static claim_event_t decide_query_step(claim_t *claim, pimento_usec_t now,
+				       bool timed_out, outbox_t *out)
 {
 	const witness_set_t *set = &claim->options.witnesses;
 	uint32_t replied = claim->answered_mask | claim->refused_mask;
@@ -382,8 +384,8 @@
 	return CLAIM_NO_EVENT;
 }
 
-static claim_event_t decide_take(claim_t *claim, pimento_usec_t now,
-				 bool timed_out, outbox_t *out)
+static claim_event_t decide_take_step(claim_t *claim, pimento_usec_t now,
+				      bool timed_out, outbox_t *out)
 {
 	uint32_t replied = claim->answered_mask | claim->refused_mask;
 
@@ -426,8 +428,8 @@
  * Returns the event as soon as it is certain. If a take was sent, its claim must
  * still be withdrawn from the witnesses that have not confirmed the seal.
  */
-static claim_event_t decide_seal(claim_t *claim, pimento_usec_t now,
-				 bool timed_out)
+static claim_event_t decide_seal_step(claim_t *claim, pimento_usec_t now,
+				      bool timed_out)
 {
 	claim_event_t event = evaluate_seal(claim, timed_out);
 
@@ -440,26 +442,26 @@
 	return event;
 }
 
-static claim_event_t decide_cleanup(claim_t *claim, bool timed_out)
+static claim_event_t decide_cleanup_step(claim_t *claim, bool timed_out)
 {
 	if (timed_out || none_pending(claim))
 		return end_step(claim, CLAIM_ENDED, CLAIM_NO_EVENT);
 	return CLAIM_NO_EVENT;
 }
 
-static claim_event_t decide_step(claim_t *claim, pimento_usec_t now,
-				 bool timed_out, outbox_t *out)
+static claim_event_t decide_current_step(claim_t *claim, pimento_usec_t now,
+					 bool timed_out, outbox_t *out)
 {
 	switch (claim->state) {
 	case CLAIM_QUERYING:
-		return decide_query(claim, now, timed_out, out);
+		return decide_query_step(claim, now, timed_out, out);
 	case CLAIM_TAKING:
-		return decide_take(claim, now, timed_out, out);
+		return decide_take_step(claim, now, timed_out, out);
 	case CLAIM_SEALING:
-		return decide_seal(claim, now, timed_out);
+		return decide_seal_step(claim, now, timed_out);
 	case CLAIM_WITHDRAWING:
 	case CLAIM_REPORTING:
-		return decide_cleanup(claim, timed_out);
+		return decide_cleanup_step(claim, timed_out);
 	default:
 		return CLAIM_NO_EVENT;
 	}
@@ -479,9 +481,9 @@
 	if (index < 0 || !step_pending(claim))
 		return CLAIM_NO_EVENT;
 	if (now >= claim->deadline)
-		return decide_step(claim, now, true, out);
+		return decide_current_step(claim, now, true, out);
 	record_reply(claim, index, reply);
-	return decide_step(claim, now, false, out);
+	return decide_current_step(claim, now, false, out);
 }
 
 claim_event_t claim_tick(claim_t *claim, pimento_usec_t now, outbox_t *out)
@@ -490,7 +492,7 @@
 
 	if (!step_pending(claim) || now < claim_deadline(claim))
 		return CLAIM_NO_EVENT;
-	event = decide_step(claim, now, now >= claim->deadline, out);
+	event = decide_current_step(claim, now, now >= claim->deadline, out);
 	if (step_pending(claim) && now >= claim->resend_at)
 		send_requests(claim, now, out);
 	return event;
--- a/src/wire.c
+++ b/src/wire.c
@@ -36,7 +36,7 @@
 	} u;
 } scratch_t;
 
-static Wire__Reqid *put_id(Wire__Reqid *to, uint64_t hi, uint64_t lo)
+static Wire__Reqid *encode_id(Wire__Reqid *to, uint64_t hi, uint64_t lo)
 {
 	wire__reqid__init(to);
 	to->hi = hi;
@@ -44,8 +44,8 @@
 	return to;
 }
 
-static Wire__Summary *put_summary(Wire__Summary *to,
-				  const message_summary_t *from)
+static Wire__Summary *encode_summary(Wire__Summary *to,
+				     const message_summary_t *from)
 {
 	wire__summary__init(to);
 	to->endpoint = from->endpoint;
@@ -65,11 +65,12 @@
 	return to;
 }
 
-static Wire__Place *put_dispatch(scratch_t *s, const message_dispatch_t *from)
+static Wire__Place *encode_dispatch(scratch_t *s,
+				    const message_dispatch_t *from)
 {
 	wire__place__init(&s->dispatch);
 	s->dispatch.request =
-		put_id(&s->dispatch_reqid, from->id.hi, from->id.lo);
+		encode_id(&s->dispatch_reqid, from->id.hi, from->id.lo);
 	s->dispatch.endpoint = from->endpoint;
 	s->dispatch.digest = from->digest;
 	s->dispatch.done = from->done;
@@ -79,13 +80,13 @@
 	return &s->dispatch;
 }
 
-static void put_reserve(scratch_t *s, Wire__Envelope *e,
-			const message_reserve_t *m)
+static void encode_reserve(scratch_t *s, Wire__Envelope *e,
+			   const message_reserve_t *m)
 {
 	Wire__Reserve *to = &s->u.reserve;
 
 	wire__reserve__init(to);
-	to->request = put_id(&s->reqid, m->request.hi, m->request.lo);
+	to->request = encode_id(&s->reqid, m->request.hi, m->request.lo);
 	to->round = m->round;
 	to->endpoint = m->endpoint;
 	to->account = m->account;
@@ -99,56 +100,58 @@
 	e->reserve = to;
 }
 
-static void put_grant(scratch_t *s, Wire__Envelope *e, const message_grant_t *m)
+static void encode_grant(scratch_t *s, Wire__Envelope *e,
+			 const message_grant_t *m)
 {
 	Wire__Grant *to = &s->u.grant;
 
 	wire__grant__init(to);
-	to->request = put_id(&s->reqid, m->request.hi, m->request.lo);
+	to->request = encode_id(&s->reqid, m->request.hi, m->request.lo);
 	to->round = m->round;
 	to->epoch = m->epoch;
 	to->lifetime = m->lifetime;
-	to->summary = put_summary(&s->summaries[0], &m->summary);
+	to->summary = encode_summary(&s->summaries[0], &m->summary);
 	e->body_case = WIRE__ENVELOPE__BODY_GRANT;
 	e->grant = to;
 }
 
-static void put_wait(scratch_t *s, Wire__Envelope *e, const message_wait_t *m)
+static void encode_wait(scratch_t *s, Wire__Envelope *e,
+			const message_wait_t *m)
 {
 	Wire__Wait *to = &s->u.wait;
 
 	wire__wait__init(to);
-	to->request = put_id(&s->reqid, m->request.hi, m->request.lo);
+	to->request = encode_id(&s->reqid, m->request.hi, m->request.lo);
 	to->round = m->round;
 	to->expected = m->expected_wait;
-	to->summary = put_summary(&s->summaries[0], &m->summary);
+	to->summary = encode_summary(&s->summaries[0], &m->summary);
 	e->body_case = WIRE__ENVELOPE__BODY_WAIT;
 	e->wait = to;
 }
 
-static void put_refuse(scratch_t *s, Wire__Envelope *e,
-		       const message_refuse_t *m)
+static void encode_refuse(scratch_t *s, Wire__Envelope *e,
+			  const message_refuse_t *m)
 {
 	Wire__Refuse *to = &s->u.refuse;
 
 	wire__refuse__init(to);
-	to->request = put_id(&s->reqid, m->request.hi, m->request.lo);
+	to->request = encode_id(&s->reqid, m->request.hi, m->request.lo);
 	to->round = m->round;
 	to->reason = m->reason;
 	to->retry_after = m->retry_after;
 	to->elsewhere = m->alternative_endpoint;
-	to->summary = put_summary(&s->summaries[0], &m->summary);
+	to->summary = encode_summary(&s->summaries[0], &m->summary);
 	e->body_case = WIRE__ENVELOPE__BODY_REFUSE;
 	e->refuse = to;
 }
 
-static void put_release(scratch_t *s, Wire__Envelope *e,
-			const message_release_t *m)
+static void encode_release(scratch_t *s, Wire__Envelope *e,
+			   const message_release_t *m)
 {
 	Wire__Release *to = &s->u.release;
 
 	wire__release__init(to);
-	to->request = put_id(&s->reqid, m->request.hi, m->request.lo);
+	to->request = encode_id(&s->reqid, m->request.hi, m->request.lo);
 	to->round = m->round;
 	to->endpoint = m->endpoint;
 	to->epoch = m->epoch;
@@ -161,13 +164,13 @@
 	e->release = to;
 }
 
-static void put_progress(scratch_t *s, Wire__Envelope *e,
-			 const message_progress_t *m)
+static void encode_progress(scratch_t *s, Wire__Envelope *e,
+			    const message_progress_t *m)
 {
 	Wire__Progress *to = &s->u.progress;
 
 	wire__progress__init(to);
-	to->request = put_id(&s->reqid, m->request.hi, m->request.lo);
+	to->request = encode_id(&s->reqid, m->request.hi, m->request.lo);
 	to->round = m->round;
 	to->endpoint = m->endpoint;
 	to->epoch = m->epoch;
@@ -178,58 +181,59 @@
 	e->progress = to;
 }
 
-static void put_digest(scratch_t *s, Wire__Envelope *e,
-		       const message_digest_t *m)
+static void encode_digest(scratch_t *s, Wire__Envelope *e,
+			  const message_digest_t *m)
 {
 	Wire__Digest *to = &s->u.digest;
 
 	wire__digest__init(to);
 	for (uint32_t i = 0; i < m->count; i++)
 		s->summary_list[i] =
-			put_summary(&s->summaries[i], &m->summaries[i]);
+			encode_summary(&s->summaries[i], &m->summaries[i]);
 	to->n_summaries = m->count;
 	to->summaries = s->summary_list;
 	e->body_case = WIRE__ENVELOPE__BODY_DIGEST;
 	e->digest = to;
 }
 
-static void put_claim(scratch_t *s, Wire__Envelope *e, const message_claim_t *m)
+static void encode_claim(scratch_t *s, Wire__Envelope *e,
+			 const message_claim_t *m)
 {
 	Wire__Claim *to = &s->u.claim;
 
 	wire__claim__init(to);
 	to->op = m->op;
-	to->key = put_id(&s->reqid, m->key.hi, m->key.lo);
+	to->key = encode_id(&s->reqid, m->key.hi, m->key.lo);
 	to->sequence = m->sequence;
 	to->incarnation = m->incarnation;
 	to->view = m->witness_set_hash;
 	to->age = m->key_age;
 	to->attempt = m->attempt;
-	to->place = put_dispatch(s, &m->dispatch);
+	to->place = encode_dispatch(s, &m->dispatch);
 	e->body_case = WIRE__ENVELOPE__BODY_CLAIM;
 	e->claim = to;
 }
 
-static void put_witness(scratch_t *s, Wire__Envelope *e,
-			const message_witness_t *m)
+static void encode_witness(scratch_t *s, Wire__Envelope *e,
+			   const message_witness_t *m)
 {
 	Wire__Witness *to = &s->u.witness;
 
 	wire__witness__init(to);
-	to->key = put_id(&s->reqid, m->key.hi, m->key.lo);
+	to->key = encode_id(&s->reqid, m->key.hi, m->key.lo);
 	to->sequence = m->sequence;
 	to->incarnation = m->incarnation;
 	to->answer = m->result;
 	to->sealed = m->sealed;
 	to->attempt = m->attempt;
 	if (m->attempt)
-		to->place = put_dispatch(s, &m->dispatch);
+		to->place = encode_dispatch(s, &m->dispatch);
 	e->body_case = WIRE__ENVELOPE__BODY_WITNESS;
 	e->witness = to;
 }
 
-static void put_probe(scratch_t *s, Wire__Envelope *e, const message_probe_t *m,
-		      bool ack)
+static void encode_probe(scratch_t *s, Wire__Envelope *e,
+			 const message_probe_t *m, bool ack)
 {
 	Wire__Probe *to = &s->u.probe;
 
@@ -257,7 +261,8 @@
 	e->probe = to;
 }
 
-static void put_offer(scratch_t *s, Wire__Envelope *e, const message_offer_t *m)
+static void encode_offer(scratch_t *s, Wire__Envelope *e,
+			 const message_offer_t *m)
 {
 	Wire__Offer *to = &s->u.offer;
 
@@ -270,7 +275,8 @@
 	e->offer = to;
 }
 
-static void put_pull(scratch_t *s, Wire__Envelope *e, const message_pull_t *m)
+static void encode_pull(scratch_t *s, Wire__Envelope *e,
+			const message_pull_t *m)
 {
 	Wire__Pull *to = &s->u.pull;
 
@@ -283,7 +289,8 @@
 	e->pull = to;
 }
 
-static void put_part(scratch_t *s, Wire__Envelope *e, const message_part_t *m)
+static void encode_part(scratch_t *s, Wire__Envelope *e,
+			const message_part_t *m)
 {
 	Wire__Part *to = &s->u.part;
 
@@ -322,48 +329,48 @@
 	}
 }
 
-static int put_message(scratch_t *s, Wire__Envelope *e, const message_t *m)
+static int encode_message(scratch_t *s, Wire__Envelope *e, const message_t *m)
 {
 	switch (m->kind) {
 	case MESSAGE_RESERVE:
-		put_reserve(s, e, &m->u.reserve);
+		encode_reserve(s, e, &m->u.reserve);
 		return PIMENTO_OK;
 	case MESSAGE_GRANT:
-		put_grant(s, e, &m->u.grant);
+		encode_grant(s, e, &m->u.grant);
 		return PIMENTO_OK;
 	case MESSAGE_WAIT:
-		put_wait(s, e, &m->u.wait);
+		encode_wait(s, e, &m->u.wait);
 		return PIMENTO_OK;
 	case MESSAGE_REFUSE:
-		put_refuse(s, e, &m->u.refuse);
+		encode_refuse(s, e, &m->u.refuse);
 		return PIMENTO_OK;
 	case MESSAGE_RELEASE:
-		put_release(s, e, &m->u.release);
+		encode_release(s, e, &m->u.release);
 		return PIMENTO_OK;
 	case MESSAGE_PROGRESS:
-		put_progress(s, e, &m->u.progress);
+		encode_progress(s, e, &m->u.progress);
 		return PIMENTO_OK;
 	case MESSAGE_DIGEST:
-		put_digest(s, e, &m->u.digest);
+		encode_digest(s, e, &m->u.digest);
 		return PIMENTO_OK;
 	case MESSAGE_CLAIM:
-		put_claim(s, e, &m->u.claim);
+		encode_claim(s, e, &m->u.claim);
 		return PIMENTO_OK;
 	case MESSAGE_WITNESS:
-		put_witness(s, e, &m->u.witness);
+		encode_witness(s, e, &m->u.witness);
 		return PIMENTO_OK;
 	case MESSAGE_PROBE:
 	case MESSAGE_ACK:
-		put_probe(s, e, &m->u.probe, m->kind == MESSAGE_ACK);
+		encode_probe(s, e, &m->u.probe, m->kind == MESSAGE_ACK);
 		return PIMENTO_OK;
 	case MESSAGE_OFFER:
-		put_offer(s, e, &m->u.offer);
+		encode_offer(s, e, &m->u.offer);
 		return PIMENTO_OK;
 	case MESSAGE_PULL:
-		put_pull(s, e, &m->u.pull);
+		encode_pull(s, e, &m->u.pull);
 		return PIMENTO_OK;
 	case MESSAGE_PART:
-		put_part(s, e, &m->u.part);
+		encode_part(s, e, &m->u.part);
 		return PIMENTO_OK;
 	case MESSAGE_NONE:
 	case MESSAGE_KINDS:
@@ -381,7 +388,7 @@
 
 	if (!counts_in_bounds(message))
 		return PIMENTO_EINVAL;
-	if (put_message(&scratch, &envelope, message))
+	if (encode_message(&scratch, &envelope, message))
 		return PIMENTO_EINVAL;
 	envelope.from = from;
 	length = wire__envelope__get_packed_size(&envelope);
@@ -406,7 +413,7 @@
 	return (int)length;
 }
 
-static pimento_reqid_t get_reqid(const Wire__Reqid *from)
+static pimento_reqid_t decode_reqid(const Wire__Reqid *from)
 {
 	pimento_reqid_t id = { 0, 0 };
 
@@ -417,7 +424,7 @@
 	return id;
 }
 
-static pimento_key_t get_key(const Wire__Reqid *from)
+static pimento_key_t decode_key(const Wire__Reqid *from)
 {
 	pimento_key_t key = { 0, 0 };
 
@@ -428,7 +435,7 @@
 	return key;
 }
 
-static int get_summary(message_summary_t *to, const Wire__Summary *from)
+static int decode_summary(message_summary_t *to, const Wire__Summary *from)
 {
 	memset(to, 0, sizeof(*to));
 	if (!from)
@@ -454,14 +461,14 @@
 	return PIMENTO_OK;
 }
 
-static int get_dispatch(message_dispatch_t *to, const Wire__Place *from)
+static int decode_dispatch(message_dispatch_t *to, const Wire__Place *from)
 {
 	memset(to, 0, offsetof(message_dispatch_t, answer));
 	if (!from)
 		return PIMENTO_OK;
 	if (from->answer.len > MESSAGE_ANSWER_BYTES_MAX || from->status > 999)
 		return PIMENTO_EPARSE;
-	to->id = get_reqid(from->request);
+	to->id = decode_reqid(from->request);
 	to->endpoint = from->endpoint;
 	to->digest = from->digest;
 	to->done = from->done;
@@ -478,11 +485,11 @@
 	return span < 0 ? 0 : span;
 }
 
-static int get_reserve(message_reserve_t *to, const Wire__Reserve *from)
+static int decode_reserve(message_reserve_t *to, const Wire__Reserve *from)
 {
 	if (from->tier >= PIMENTO_TIERS_MAX || from->hops > UINT8_MAX)
 		return PIMENTO_EPARSE;
-	to->request = get_reqid(from->request);
+	to->request = decode_reqid(from->request);
 	to->round = from->round;
 	to->endpoint = from->endpoint;
 	to->account = from->account;
@@ -495,11 +502,11 @@
 	return PIMENTO_OK;
 }
 
-static int get_release(message_release_t *to, const Wire__Release *from)
+static int decode_release(message_release_t *to, const Wire__Release *from)
 {
 	if (from->outcome > RELEASE_CANCELLED)
 		return PIMENTO_EPARSE;
-	to->request = get_reqid(from->request);
+	to->request = decode_reqid(from->request);
 	to->round = from->round;
 	to->endpoint = from->endpoint;
 	to->epoch = from->epoch;
@@ -511,9 +518,9 @@
 	return PIMENTO_OK;
 }
 
-static void get_progress(message_progress_t *to, const Wire__Progress *from)
+static void decode_progress(message_progress_t *to, const Wire__Progress *from)
 {
-	to->request = get_reqid(from->request);
+	to->request = decode_reqid(from->request);
 	to->round = from->round;
 	to->endpoint = from->endpoint;
 	to->epoch = from->epoch;
@@ -522,71 +529,71 @@
 	to->decode_time = clamp_duration(from->decode);
 }
 
-static int get_grant(message_grant_t *to, const Wire__Grant *from)
+static int decode_grant(message_grant_t *to, const Wire__Grant *from)
 {
-	to->request = get_reqid(from->request);
+	to->request = decode_reqid(from->request);
 	to->round = from->round;
 	to->epoch = from->epoch;
 	to->lifetime = clamp_duration(from->lifetime);
-	return get_summary(&to->summary, from->summary);
+	return decode_summary(&to->summary, from->summary);
 }
 
-static int get_wait(message_wait_t *to, const Wire__Wait *from)
+static int decode_wait(message_wait_t *to, const Wire__Wait *from)
 {
-	to->request = get_reqid(from->request);
+	to->request = decode_reqid(from->request);
 	to->round = from->round;
 	to->expected_wait = clamp_duration(from->expected);
-	return get_summary(&to->summary, from->summary);
+	return decode_summary(&to->summary, from->summary);
 }
 
-static int get_refuse(message_refuse_t *to, const Wire__Refuse *from)
+static int decode_refuse(message_refuse_t *to, const Wire__Refuse *from)
 {
-	to->request = get_reqid(from->request);
+	to->request = decode_reqid(from->request);
 	to->round = from->round;
 	to->reason = from->reason;
 	to->retry_after = clamp_duration(from->retry_after);
 	to->alternative_endpoint = from->elsewhere;
-	return get_summary(&to->summary, from->summary);
+	return decode_summary(&to->summary, from->summary);
 }
 
-static int get_digest(message_digest_t *to, const Wire__Digest *from)
+static int decode_digest(message_digest_t *to, const Wire__Digest *from)
 {
 	if (from->n_summaries > MESSAGE_SUMMARIES_MAX)
 		return PIMENTO_EPARSE;
 	to->count = (uint32_t)from->n_summaries;
 	for (uint32_t i = 0; i < to->count; i++) {
-		if (get_summary(&to->summaries[i], from->summaries[i]))
+		if (decode_summary(&to->summaries[i], from->summaries[i]))
 			return PIMENTO_EPARSE;
 	}
 	return PIMENTO_OK;
 }
 
-static int get_claim(message_claim_t *to, const Wire__Claim *from)
+static int decode_claim(message_claim_t *to, const Wire__Claim *from)
 {
 	if (from->op < CLAIM_QUERY || from->op > CLAIM_DONE)
 		return PIMENTO_EPARSE;
 	to->op = (uint8_t)from->op;
-	to->key = get_key(from->key);
+	to->key = decode_key(from->key);
 	to->sequence = from->sequence;
 	to->incarnation = from->incarnation;
 	to->witness_set_hash = from->view;
 	to->key_age = from->age;
 	to->attempt = from->attempt;
-	return get_dispatch(&to->dispatch, from->place);
+	return decode_dispatch(&to->dispatch, from->place);
 }
 
-static int get_witness(message_witness_t *to, const Wire__Witness *from)
+static int decode_witness(message_witness_t *to, const Wire__Witness *from)
 {
-	to->key = get_key(from->key);
+	to->key = decode_key(from->key);
 	to->sequence = from->sequence;
 	to->incarnation = from->incarnation;
 	to->result = from->answer;
 	to->sealed = from->sealed;
 	to->attempt = from->attempt;
-	return get_dispatch(&to->dispatch, from->place);
+	return decode_dispatch(&to->dispatch, from->place);
 }
 
-static int get_probe(message_probe_t *to, const Wire__Probe *from)
+static int decode_probe(message_probe_t *to, const Wire__Probe *from)
 {
 	if (from->n_facts > MESSAGE_FACTS_MAX)
 		return PIMENTO_EPARSE;
@@ -610,7 +617,7 @@
 	return PIMENTO_OK;
 }
 
-static int get_subject(uint8_t *to, uint32_t from)
+static int decode_subject(uint8_t *to, uint32_t from)
 {
 	if (from != CONFIG_SYNC_CONFIG && from != CONFIG_SYNC_HOSTS)
 		return PIMENTO_EPARSE;
@@ -618,23 +625,23 @@
 	return PIMENTO_OK;
 }
 
-static int get_offer(message_offer_t *to, const Wire__Offer *from)
+static int decode_offer(message_offer_t *to, const Wire__Offer *from)
 {
 	to->revision = from->revision;
 	to->digest = from->digest;
 	to->size = from->size;
-	return get_subject(&to->subject, from->subject);
+	return decode_subject(&to->subject, from->subject);
 }
 
-static int get_pull(message_pull_t *to, const Wire__Pull *from)
+static int decode_pull(message_pull_t *to, const Wire__Pull *from)
 {
 	to->revision = from->revision;
 	to->base = from->held;
 	to->offset = from->offset;
-	return get_subject(&to->subject, from->subject);
+	return decode_subject(&to->subject, from->subject);
 }
 
-static int get_part(message_part_t *to, const Wire__Part *from)
+static int decode_part(message_part_t *to, const Wire__Part *from)
 {
 	if (from->body.len > MESSAGE_PART_BYTES_MAX)
 		return PIMENTO_EPARSE;
@@ -646,55 +653,55 @@
 	to->length = (uint32_t)from->body.len;
 	if (from->body.len)
 		memcpy(to->bytes, from->body.data, from->body.len);
-	return get_subject(&to->subject, from->subject);
+	return decode_subject(&to->subject, from->subject);
 }
 
-static int get_message(message_t *m, const Wire__Envelope *e)
+static int decode_message(message_t *m, const Wire__Envelope *e)
 {
 	switch (e->body_case) {
 	case WIRE__ENVELOPE__BODY_RESERVE:
 		m->kind = MESSAGE_RESERVE;
-		return get_reserve(&m->u.reserve, e->reserve);
+		return decode_reserve(&m->u.reserve, e->reserve);
 	case WIRE__ENVELOPE__BODY_GRANT:
 		m->kind = MESSAGE_GRANT;
-		return get_grant(&m->u.grant, e->grant);
+		return decode_grant(&m->u.grant, e->grant);
 	case WIRE__ENVELOPE__BODY_WAIT:
 		m->kind = MESSAGE_WAIT;
-		return get_wait(&m->u.wait, e->wait);
+		return decode_wait(&m->u.wait, e->wait);
 	case WIRE__ENVELOPE__BODY_REFUSE:
 		m->kind = MESSAGE_REFUSE;
-		return get_refuse(&m->u.refuse, e->refuse);
+		return decode_refuse(&m->u.refuse, e->refuse);
 	case WIRE__ENVELOPE__BODY_RELEASE:
 		m->kind = MESSAGE_RELEASE;
-		return get_release(&m->u.release, e->release);
+		return decode_release(&m->u.release, e->release);
 	case WIRE__ENVELOPE__BODY_PROGRESS:
 		m->kind = MESSAGE_PROGRESS;
-		get_progress(&m->u.progress, e->progress);
+		decode_progress(&m->u.progress, e->progress);
 		return PIMENTO_OK;
 	case WIRE__ENVELOPE__BODY_DIGEST:
 		m->kind = MESSAGE_DIGEST;
-		return get_digest(&m->u.digest, e->digest);
+		return decode_digest(&m->u.digest, e->digest);
 	case WIRE__ENVELOPE__BODY_CLAIM:
 		m->kind = MESSAGE_CLAIM;
-		return get_claim(&m->u.claim, e->claim);
+		return decode_claim(&m->u.claim, e->claim);
 	case WIRE__ENVELOPE__BODY_WITNESS:
 		m->kind = MESSAGE_WITNESS;
-		return get_witness(&m->u.witness, e->witness);
+		return decode_witness(&m->u.witness, e->witness);
 	case WIRE__ENVELOPE__BODY_PROBE:
 		m->kind = MESSAGE_PROBE;
-		return get_probe(&m->u.probe, e->probe);
+		return decode_probe(&m->u.probe, e->probe);
 	case WIRE__ENVELOPE__BODY_ACK:
 		m->kind = MESSAGE_ACK;
-		return get_probe(&m->u.probe, e->ack);
+		return decode_probe(&m->u.probe, e->ack);
 	case WIRE__ENVELOPE__BODY_OFFER:
 		m->kind = MESSAGE_OFFER;
-		return get_offer(&m->u.offer, e->offer);
+		return decode_offer(&m->u.offer, e->offer);
 	case WIRE__ENVELOPE__BODY_PULL:
 		m->kind = MESSAGE_PULL;
-		return get_pull(&m->u.pull, e->pull);
+		return decode_pull(&m->u.pull, e->pull);
 	case WIRE__ENVELOPE__BODY_PART:
 		m->kind = MESSAGE_PART;
-		return get_part(&m->u.part, e->part);
+		return decode_part(&m->u.part, e->part);
 	case WIRE__ENVELOPE__BODY__NOT_SET:
 	default:
 		return PIMENTO_EPARSE;
@@ -713,7 +720,7 @@
 	if (!envelope)
 		return PIMENTO_EPARSE;
 	*from = envelope->from;
-	result = envelope->from ? get_message(message, envelope)
+	result = envelope->from ? decode_message(message, envelope)
 				: PIMENTO_EPARSE;
 	wire__envelope__free_unpacked(envelope, NULL);
 	return result;
--- a/src/witness.c
+++ b/src/witness.c
@@ -74,7 +74,7 @@
 	return at;
 }
 
-static void age_unlink(witness_t *witness, witness_record_t *record)
+static void unlink_from_age_list(witness_t *witness, witness_record_t *record)
 {
 	if (record->older)
 		record->older->newer = record->newer;
@@ -86,7 +86,7 @@
 		witness->newest = record->older;
 }
 
-static void age_append(witness_t *witness, witness_record_t *record)
+static void append_to_age_list(witness_t *witness, witness_record_t *record)
 {
 	record->older = witness->newest;
 	record->newer = NULL;
@@ -164,8 +164,8 @@
 			   witness_record_t *record)
 {
 	record->changed_at = now;
-	age_unlink(witness, record);
-	age_append(witness, record);
+	unlink_from_age_list(witness, record);
+	append_to_age_list(witness, record);
 }
 
 static witness_record_t *find_or_add(witness_t *witness, pimento_usec_t now,
@@ -186,7 +186,7 @@
 	record->key = key;
 	record->changed_at = now;
 	*at = record;
-	age_append(witness, record);
+	append_to_age_list(witness, record);
 	witness->count++;
 	return record;
 }
@@ -212,8 +212,8 @@
 	return capacity - capacity / SEAL_RESERVE_DIVISOR;
 }
 
-static int apply_take(witness_t *witness, pimento_usec_t now,
-		      const message_claim_t *msg)
+static int apply_take_request(witness_t *witness, pimento_usec_t now,
+			      const message_claim_t *msg)
 {
 	witness_record_t *record = *find_link(witness, msg->key);
 
@@ -230,8 +230,8 @@
 	return PIMENTO_OK;
 }
 
-static int apply_seal(witness_t *witness, pimento_usec_t now,
-		      const message_claim_t *msg)
+static int apply_seal_request(witness_t *witness, pimento_usec_t now,
+			      const message_claim_t *msg)
 {
 	witness_record_t *record = *find_link(witness, msg->key);
 
@@ -271,8 +271,8 @@
  * witness that never received its claim or that holds the claim of a dispatch
  * that lost.
  */
-static int apply_done(witness_t *witness, pimento_usec_t now,
-		      const message_claim_t *msg)
+static int apply_done_report(witness_t *witness, pimento_usec_t now,
+			     const message_claim_t *msg)
 {
 	witness_record_t *record = *find_link(witness, msg->key);
 
@@ -292,8 +292,9 @@
  * The witness set of a key by one of the host lists kept here: steps_back is 0
  * for the newest. False if there is no such list or it has too few hosts.
  */
-static bool set_by_hostlist(const witness_t *witness, uint32_t steps_back,
-			    pimento_key_t key, witness_set_t *set)
+static bool select_witnesses_by_hostlist(const witness_t *witness,
+					 uint32_t steps_back, pimento_key_t key,
+					 witness_set_t *set)
 {
 	const witness_hostlist_t *hostlist;
 
@@ -305,7 +306,7 @@
 				   set) == 0;
 }
 
-static bool set_has_host(const witness_set_t *set, pimento_id_t host)
+static bool witness_set_has_host(const witness_set_t *set, pimento_id_t host)
 {
 	for (uint32_t i = 0; i < set->count; i++) {
 		if (set->hosts[i] == host)
@@ -318,14 +319,16 @@
  * Returns since when the lists in force have selected this witness set for the
  * key without a break. A new list that selects the same set does not reset it.
  */
-static pimento_usec_t in_set_since(const witness_t *witness, pimento_key_t key,
-				   uint64_t set_hash)
+static pimento_usec_t witness_set_unchanged_since(const witness_t *witness,
+						  pimento_key_t key,
+						  uint64_t set_hash)
 {
 	pimento_usec_t since = PIMENTO_NEVER;
 	witness_set_t set;
 
 	for (uint32_t steps_back = 0;
-	     set_by_hostlist(witness, steps_back, key, &set); steps_back++) {
+	     select_witnesses_by_hostlist(witness, steps_back, key, &set);
+	     steps_back++) {
 		if (set.set_hash != set_hash)
 			break;
 		since = witness->hostlists[witness->hostlist_count - 1 -
@@ -349,13 +352,14 @@
 	pimento_usec_t since;
 	witness_set_t set;
 
-	if (!set_by_hostlist(witness, 0, msg->key, &set) ||
+	if (!select_witnesses_by_hostlist(witness, 0, msg->key, &set) ||
 	    set.set_hash != msg->witness_set_hash ||
-	    !set_has_host(&set, witness->self))
+	    !witness_set_has_host(&set, witness->self))
 		return PIMENTO_ESTALE;
 	if (msg->key_age == CLAIM_AGE_UNKNOWN)
 		key_created = now - witness->options.retention;
-	since = in_set_since(witness, msg->key, msg->witness_set_hash);
+	since = witness_set_unchanged_since(witness, msg->key,
+					    msg->witness_set_hash);
 	return since <= key_created - age_error_max(witness) ? PIMENTO_OK
 							     : PIMENTO_ESTALE;
 }
@@ -388,11 +392,11 @@
 	case CLAIM_QUERY:
 		return PIMENTO_OK;
 	case CLAIM_TAKE:
-		return apply_take(witness, now, msg);
+		return apply_take_request(witness, now, msg);
 	case CLAIM_SEAL:
-		return apply_seal(witness, now, msg);
+		return apply_seal_request(witness, now, msg);
 	case CLAIM_DONE:
-		return apply_done(witness, now, msg);
+		return apply_done_report(witness, now, msg);
 	default:
 		return PIMENTO_EINVAL;
 	}
--- a/test/test_claim_random.c
+++ b/test/test_claim_random.c
@@ -102,7 +102,7 @@
 		no_quorum, expired, mismatch;
 } counters;
 
-static bool chance(run_t *run, uint32_t percent)
+static bool random_chance(run_t *run, uint32_t percent)
 {
 	return pimento_random_below(&run->random, 100) < percent;
 }
@@ -116,9 +116,9 @@
 /* Usually short; sometimes longer than a protocol step or than the retention. */
 static pimento_usec_t random_delay(run_t *run)
 {
-	if (!chance(run, run->slow_percent))
+	if (!random_chance(run, run->slow_percent))
 		return random_span(run, 300 * PIMENTO_MSEC);
-	if (chance(run, 70) || run->kind == CLIENT_OPAQUE)
+	if (random_chance(run, 70) || run->kind == CLIENT_OPAQUE)
 		return random_span(run, 60 * PIMENTO_SEC);
 	return random_span(run, 2 * RETENTION);
 }
@@ -192,7 +192,7 @@
 	entry->when = run->now + random_delay(run);
 	entry->clock = random_span(run, 2 * SKEW + 1) - SKEW;
 	entry->digest = 77;
-	if (chance(run, 5)) {
+	if (random_chance(run, 5)) {
 		entry->digest = 78;
 		counters.wrong_bodies++;
 	}
@@ -206,7 +206,7 @@
 	run->kind = (key_kind_t)pimento_random_below(&run->random, KEY_KINDS);
 	run->loss_percent = (uint32_t)pimento_random_below(&run->random, 25);
 	run->slow_percent = (uint32_t)pimento_random_below(&run->random, 30);
-	if (chance(run, 10))
+	if (random_chance(run, 10))
 		run->slow_percent = 60;
 	run->fault_interval =
 		1 + (uint32_t)pimento_random_below(&run->random, 60);
@@ -216,7 +216,7 @@
 	make_hostlists(run);
 	for (uint32_t h = 0; h < HOSTS; h++) {
 		/* Some hosts have the second list in force when the key is created. */
-		run->hosts[h].list = chance(run, 25);
+		run->hosts[h].list = random_chance(run, 25);
 		start_witness(run, h, 0);
 	}
 	run->now = START_TIME;
@@ -247,7 +247,7 @@
 	pimento_usec_t span = random_delay(run);
 
 	if (run->delivery_count == DELIVERIES_MAX ||
-	    chance(run, run->loss_percent)) {
+	    random_chance(run, run->loss_percent)) {
 		counters.lost++;
 		return;
 	}
@@ -265,7 +265,7 @@
 				  uint32_t from, uint32_t to, bool reply)
 {
 	send_message(run, message, from, to, reply);
-	if (chance(run, 10)) {
+	if (random_chance(run, 10)) {
 		counters.duplicated++;
 		send_message(run, message, from, to, reply);
 	}
@@ -281,7 +281,7 @@
 				      false);
 }
 
-static message_dispatch_t dispatch_of(const run_t *run, uint32_t e)
+static message_dispatch_t make_dispatch(const run_t *run, uint32_t e)
 {
 	message_dispatch_t dispatch = {
 		.id = { 100 + e, 1 },
@@ -308,14 +308,14 @@
 	uint32_t list = oldest_list_in_use(run);
 	int64_t created;
 
-	if (chance(run, 30))
-		options.attempt = 1 + (uint32_t)chance(run, 40);
+	if (random_chance(run, 30))
+		options.attempt = 1 + (uint32_t)random_chance(run, 40);
 	entry->requested_attempt = options.attempt;
 	if (run->kind == CLIENT_OPAQUE)
 		options.key_age = CLAIM_AGE_UNKNOWN;
 	if (run->kind != ISSUED) {
-		list += (uint32_t)chance(run, 40);
-		if (chance(run, 10) || list == LISTS)
+		list += (uint32_t)random_chance(run, 40);
+		if (random_chance(run, 10) || list == LISTS)
 			list = (uint32_t)pimento_random_below(&run->random,
 							      LISTS);
 		ck_assert_int_eq(idem_key_select_witnesses(
@@ -379,7 +379,7 @@
 		fail_property(
 			run,
 			"held claim has an outcome, but nothing was dispatched");
-	want = dispatch_of(run, (uint32_t)run->winner);
+	want = make_dispatch(run, (uint32_t)run->winner);
 	if (held->answer_size != want.answer_size ||
 	    memcmp(held->answer, want.answer, want.answer_size) != 0)
 		fail_property(
@@ -402,16 +402,18 @@
 {
 	switch (event) {
 	case CLAIM_FREE:
-		schedule_action(run, entry, chance(run, 80) ? TAKE : SEAL);
+		schedule_action(run, entry,
+				random_chance(run, 80) ? TAKE : SEAL);
 		return;
 	case CLAIM_WON:
-		schedule_action(run, entry, chance(run, 10) ? TAKE : DISPATCH);
-		if (chance(run, 15))
+		schedule_action(run, entry,
+				random_chance(run, 10) ? TAKE : DISPATCH);
+		if (random_chance(run, 15))
 			entry->action = SEAL;
 		return;
 	case CLAIM_HELD:
 		check_held(run, entry);
-		if (chance(run, 50))
+		if (random_chance(run, 50))
 			schedule_action(run, entry, SEAL);
 		return;
 	case CLAIM_NOT_RUN:
@@ -438,7 +440,7 @@
 static void run_action(run_t *run, uint32_t e)
 {
 	entry_t *entry = &run->entries[e];
-	message_dispatch_t dispatch = dispatch_of(run, e);
+	message_dispatch_t dispatch = make_dispatch(run, e);
 	action_t action = entry->action;
 
 	entry->action = NO_ACTION;
@@ -447,7 +449,7 @@
 		start_claim(run, entry, e);
 		break;
 	case TAKE:
-		dispatch.endpoint += (pimento_id_t)chance(run, 50);
+		dispatch.endpoint += (pimento_id_t)random_chance(run, 50);
 		claim_take(&entry->claim, run->now, &dispatch, &run->out);
 		break;
 	case SEAL:
@@ -455,7 +457,8 @@
 		break;
 	case DISPATCH:
 		record_dispatch(run, entry, e);
-		schedule_action(run, entry, chance(run, 80) ? DONE : NO_ACTION);
+		schedule_action(run, entry,
+				random_chance(run, 80) ? DONE : NO_ACTION);
 		break;
 	case DONE:
 		claim_complete(&entry->claim, run->now, &dispatch, &run->out);
@@ -516,7 +519,7 @@
 	message_witness_t reply;
 
 	for (int i = 0; i < CAPACITY; i++) {
-		msg.op = chance(run, 30) ? CLAIM_SEAL : CLAIM_TAKE;
+		msg.op = random_chance(run, 30) ? CLAIM_SEAL : CLAIM_TAKE;
 		msg.key.hi = pimento_random_next(&run->random);
 		witness_receive(&run->hosts[h].witness, run->now, &msg, &reply);
 	}
@@ -562,7 +565,7 @@
 		counters.pauses++;
 		break;
 	case 3:
-		if (entry->dead || chance(run, 70))
+		if (entry->dead || random_chance(run, 70))
 			break;
 		entry->dead = true;
 		counters.deaths++;
@@ -576,7 +579,7 @@
 	}
 }
 
-static pimento_usec_t later_of(pimento_usec_t a, pimento_usec_t b)
+static pimento_usec_t max_time(pimento_usec_t a, pimento_usec_t b)
 {
 	return a > b ? a : b;
 }
@@ -585,7 +588,7 @@
 {
 	if (!delivery->reply)
 		return delivery->at;
-	return later_of(delivery->at, run->entries[delivery->to].paused);
+	return max_time(delivery->at, run->entries[delivery->to].paused);
 }
 
 static pimento_usec_t entry_due(const entry_t *entry)
@@ -596,7 +599,7 @@
 		return PIMENTO_NEVER;
 	if (entry->action != NO_ACTION && entry->when < due)
 		due = entry->when;
-	return due == PIMENTO_NEVER ? due : later_of(due, entry->paused);
+	return due == PIMENTO_NEVER ? due : max_time(due, entry->paused);
 }
 
 static void run_entry(run_t *run, uint32_t e)
@@ -633,7 +636,7 @@
 	}
 	if (delivery < 0 && entry < 0)
 		return false;
-	run->now = later_of(run->now, due);
+	run->now = max_time(run->now, due);
 	if (entry >= 0)
 		run_entry(run, (uint32_t)entry);
 	else
