--- a/bench/ours.c
+++ b/bench/ours.c
@@ -301,7 +301,7 @@
 	if (!p->first_no)
 		p->first_no = now;
 	query_of(o, r, &query);
-	reason = route_refused(
+	reason = route_handle_refusal(
 		&o->hosts[host].route, now, &p->retry, &query, p->patience,
 		o->world->descriptions[p->endpoint].id, refuse, &choice, &hops);
 	if (!reason) {
--- a/src/endpoint.c
+++ b/src/endpoint.c
@@ -88,7 +88,7 @@
 
 static uint32_t share_of_slots(const owner_endpoint_t *e)
 {
-	uint32_t all = limit_requests(&e->limit);
+	uint32_t all = limit_get_max_requests(&e->limit);
 	uint32_t part = (uint32_t)(all * e->weight);
 
 	return part ? part : 1;
@@ -112,7 +112,7 @@
 			     uint8_t tier)
 {
 	uint32_t slots = share_of_slots(e);
-	uint32_t available = limit_requests(&e->limit);
+	uint32_t available = limit_get_max_requests(&e->limit);
 	uint32_t others = current_external_running(e, now);
 	uint32_t reserved;
 
@@ -188,12 +188,13 @@
 
 	if (!r->item.tier || !prompt)
 		return true;
-	if (limit_prefill_span(&e->limit, e->prefill_tokens, 0) >
+	if (limit_estimate_prefill_span(&e->limit, e->prefill_tokens, 0) >
 	    PREFILL_QUEUE_MAX)
 		return false;
 	return slack_allows_prefill(
 		e, now, r->item.tier,
-		limit_prefill_span(&e->limit, e->prefill_tokens, prompt));
+		limit_estimate_prefill_span(&e->limit, e->prefill_tokens,
+					    prompt));
 }
 
 bool endpoint_fits(const owner_endpoint_t *e, pimento_usec_t now,
@@ -235,9 +236,9 @@
 						  limit_answer_span(limit, 0, 0,
 								    0))
 			       : 0;
-	if (limit_prefill_rate(limit) > 0)
-		span += (double)limit_prefill_span(limit, e->prefill_tokens,
-						   request->prompt_tokens);
+	if (limit_get_prefill_rate(limit) > 0)
+		span += (double)limit_estimate_prefill_span(
+			limit, e->prefill_tokens, request->prompt_tokens);
 	if (limit_decode_rate(limit) > 0)
 		span += (double)limit_decode_span(limit,
 						  request->answer_tokens) *
@@ -260,7 +261,8 @@
 	if (now < e->memory_full_until)
 		wait += MEMORY_FULL_WAIT;
 	if (tier)
-		wait += limit_prefill_span(&e->limit, e->prefill_tokens, 0);
+		wait += limit_estimate_prefill_span(&e->limit,
+						    e->prefill_tokens, 0);
 	if (e->running && e->running >= endpoint_tier_slots(e, now, tier))
 		wait += next_slot_wait(e);
 	return wait;
@@ -372,7 +374,7 @@
 						 PIMENTO_MSEC);
 	}
 	summary->waiting_tokens = e->prefill_tokens;
-	summary->prefill_rate = (float)limit_prefill_rate(&e->limit);
+	summary->prefill_rate = (float)limit_get_prefill_rate(&e->limit);
 	summary->decode_rate = (float)limit_decode_rate(&e->limit);
 	/* a plain service, whose decode_rate is in answers per second */
 	if (e->limit.service_mean > 0)
--- a/src/entry_reserve.c
+++ b/src/entry_reserve.c
@@ -143,9 +143,10 @@
 
 	fill_route_query(entry, now, &query);
 	if (now < entry->deadline)
-		error = route_refused(table->route, now, &entry->retry, &query,
-				      entry->request.client_timeout,
-				      entry->endpoint, refuse, &choice, &hops);
+		error = route_handle_refusal(
+			table->route, now, &entry->retry, &query,
+			entry->request.client_timeout, entry->endpoint, refuse,
+			&choice, &hops);
 	if (error)
 		entry_abort(table, now, entry, error, entry->retry.retry_after);
 	else
--- a/src/grants.c
+++ b/src/grants.c
@@ -119,8 +119,8 @@
 	return false;
 }
 
-static grants_foreign_t *find_foreign(const grants_endpoint_t *e,
-				      uint32_t address)
+static grants_foreign_t *find_foreign_running(const grants_endpoint_t *e,
+					      uint32_t address)
 {
 	for (uint32_t i = 0; i < e->foreign_count; i++)
 		if (e->foreign[i].address == address)
@@ -128,8 +128,8 @@
 	return NULL;
 }
 
-static void set_foreign(grants_endpoint_t *e, grants_foreign_t *foreign,
-			uint32_t running)
+static void set_foreign_running(grants_endpoint_t *e, grants_foreign_t *foreign,
+				uint32_t running)
 {
 	e->foreign_running += running - foreign->running;
 	foreign->running = running;
@@ -149,16 +149,16 @@
 			return;
 		}
 	}
-	foreign = e && ticket ? find_foreign(e, address) : NULL;
+	foreign = e && ticket ? find_foreign_running(e, address) : NULL;
 	if (foreign && foreign->running)
-		set_foreign(e, foreign, foreign->running - 1);
+		set_foreign_running(e, foreign, foreign->running - 1);
 }
 
 /*
  * Start of a request's wait on this host's clock, moved back by its head start.
  * Orders requests of equal rank.
  */
-static pimento_usec_t order_time(const grants_entry_t *entry)
+static pimento_usec_t queue_order_time(const grants_entry_t *entry)
 {
 	return entry->since - entry->request.head_start;
 }
@@ -189,7 +189,7 @@
 		return is_overdue(b, now);
 	if (a->request.rank != b->request.rank)
 		return a->request.rank < b->request.rank;
-	return order_time(a) < order_time(b);
+	return queue_order_time(a) < queue_order_time(b);
 }
 
 static void drop_expired(grants_endpoint_t *e, pimento_usec_t now)
@@ -237,7 +237,8 @@
 	return true;
 }
 
-static grants_foreign_t *add_foreign(grants_endpoint_t *e, uint32_t address)
+static grants_foreign_t *add_foreign_running(grants_endpoint_t *e,
+					     uint32_t address)
 {
 	uint32_t size = e->foreign_size ? e->foreign_size * 2 : 8;
 	grants_foreign_t *grown;
@@ -291,14 +292,15 @@
 	if (!e)
 		return PIMENTO_ENOMEM;
 	granted_here = renew_grants(e, address, running, now);
-	foreign = find_foreign(e, address);
+	foreign = find_foreign_running(e, address);
 	if (!foreign && running > granted_here)
-		foreign = add_foreign(e, address);
+		foreign = add_foreign_running(e, address);
 	if (!foreign)
 		return running > granted_here ? PIMENTO_ENOMEM : 0;
 	foreign->reported_at = now;
-	set_foreign(e, foreign,
-		    running > granted_here ? running - granted_here : 0);
+	set_foreign_running(e, foreign,
+			    running > granted_here ? running - granted_here
+						   : 0);
 	return 0;
 }
 
@@ -310,7 +312,7 @@
 
 		if (now - foreign->reported_at <= GRANTS_LEASE)
 			continue;
-		set_foreign(e, foreign, 0);
+		set_foreign_running(e, foreign, 0);
 		*foreign = e->foreign[--e->foreign_count];
 	}
 }
--- a/src/limit.c
+++ b/src/limit.c
@@ -69,8 +69,8 @@
  * Lowers the request limit, but only if it was nearly used up: a limit that was
  * not reached cannot have been too high.
  */
-static void decrease_requests(limit_t *limit, pimento_usec_t now,
-			      const limit_load_t *load)
+static void decrease_request_limit(limit_t *limit, pimento_usec_t now,
+				   const limit_load_t *load)
 {
 	if (limit->requests_decreased_at &&
 	    now - limit->requests_decreased_at < REQUESTS_DECREASE_INTERVAL)
@@ -83,29 +83,29 @@
 		limit->request_limit = 1;
 }
 
-static void increase_requests(limit_t *limit, const limit_load_t *load)
+static void increase_request_limit(limit_t *limit, const limit_load_t *load)
 {
-	if (load->requests + 1 >= limit_requests(limit))
+	if (load->requests + 1 >= limit_get_max_requests(limit))
 		limit->request_limit += 1 / limit->request_limit;
 	if (limit->request_limit > limit->requests_max)
 		limit->request_limit = limit->requests_max;
 }
 
-static void adapt_requests(limit_t *limit, pimento_usec_t now, bool overloaded,
-			   const limit_load_t *load)
+static void adapt_request_limit(limit_t *limit, pimento_usec_t now,
+				bool overloaded, const limit_load_t *load)
 {
 	if (overloaded)
-		decrease_requests(limit, now, load);
+		decrease_request_limit(limit, now, load);
 	else
-		increase_requests(limit, load);
+		increase_request_limit(limit, load);
 }
 
 /*
  * Lowers the token limit after a first token so late that the request cannot
  * have been in the engine's batch.
  */
-static void decrease_tokens(limit_t *limit, pimento_usec_t now,
-			    const limit_load_t *load)
+static void decrease_token_limit(limit_t *limit, pimento_usec_t now,
+				 const limit_load_t *load)
 {
 	if (limit->tokens_changed_at &&
 	    now - limit->tokens_changed_at < TOKENS_DECREASE_INTERVAL)
@@ -132,7 +132,7 @@
 	    NO_FIRST_TOKEN_SLACK_S +
 		    tokens / limit->prefill_rate_max * FIRST_TOKEN_FACTOR_MAX)
 		return false;
-	decrease_tokens(limit, now, load);
+	decrease_token_limit(limit, now, load);
 	return true;
 }
 
@@ -148,13 +148,13 @@
 	limit->prefill_tokens = limit->prefill_tokens * RATE_DECAY + tokens;
 	limit->prefill_seconds = limit->prefill_seconds * RATE_DECAY + seconds;
 	limit->prefill_rate_max *= BEST_DECAY;
-	if (limit->prefill_rate_max < limit_prefill_rate(limit))
-		limit->prefill_rate_max = limit_prefill_rate(limit);
+	if (limit->prefill_rate_max < limit_get_prefill_rate(limit))
+		limit->prefill_rate_max = limit_get_prefill_rate(limit);
 	expected = tokens / limit->prefill_rate_max;
-	adapt_requests(limit, now,
-		       seconds > FIRST_TOKEN_SLACK_S +
-					 expected * FIRST_TOKEN_FACTOR_MAX,
-		       load);
+	adapt_request_limit(limit, now,
+			    seconds > FIRST_TOKEN_SLACK_S +
+					      expected * FIRST_TOKEN_FACTOR_MAX,
+			    load);
 	if (limit_check_first_token(limit, now, tokens, span, load))
 		return;
 	if ((double)load->tokens >= limit->token_limit * LIMIT_USED_MIN &&
@@ -195,20 +195,20 @@
 	limit->service_min /= BEST_DECAY;
 	if (limit->service_min <= 0 || limit->service_mean < limit->service_min)
 		limit->service_min = limit->service_mean;
-	adapt_requests(limit, now,
-		       limit->service_mean >
-			       SERVICE_FACTOR_MAX * limit->service_min,
-		       load);
+	adapt_request_limit(limit, now,
+			    limit->service_mean >
+				    SERVICE_FACTOR_MAX * limit->service_min,
+			    load);
 }
 
 void limit_observe_failure(limit_t *limit, pimento_usec_t now)
 {
 	limit_load_t full_load = { limit->requests_max, 0 };
 
-	decrease_requests(limit, now, &full_load);
+	decrease_request_limit(limit, now, &full_load);
 }
 
-double limit_prefill_rate(const limit_t *limit)
+double limit_get_prefill_rate(const limit_t *limit)
 {
 	if (limit->prefill_seconds <= 0)
 		return 0;
@@ -220,24 +220,24 @@
 	return limit->token_gap > 0 ? 1 / limit->token_gap : 0;
 }
 
-uint32_t limit_requests(const limit_t *limit)
+uint32_t limit_get_max_requests(const limit_t *limit)
 {
 	return limit->request_limit < 1 ? 1 : (uint32_t)limit->request_limit;
 }
 
-static double prefill_span_s(const limit_t *limit, uint32_t ahead,
-			     uint32_t prompt)
+static double prefill_span_seconds(const limit_t *limit, uint32_t ahead,
+				   uint32_t prompt)
 {
-	double rate = limit_prefill_rate(limit);
+	double rate = limit_get_prefill_rate(limit);
 
 	return ((double)ahead + prompt) /
 	       (rate > 0 ? rate : DEFAULT_PREFILL_RATE);
 }
 
-pimento_usec_t limit_prefill_span(const limit_t *limit, uint32_t ahead,
-				  uint32_t prompt)
+pimento_usec_t limit_estimate_prefill_span(const limit_t *limit, uint32_t ahead,
+					   uint32_t prompt)
 {
-	return (pimento_usec_t)(prefill_span_s(limit, ahead, prompt) *
+	return (pimento_usec_t)(prefill_span_seconds(limit, ahead, prompt) *
 				PIMENTO_SEC);
 }
 
@@ -262,17 +262,17 @@
 {
 	if (limit->target == CONFIG_TARGET_SERVICE)
 		return mean_service_span(limit);
-	return limit_prefill_span(limit, ahead, prompt) +
+	return limit_estimate_prefill_span(limit, ahead, prompt) +
 	       limit_decode_span(limit, answer);
 }
 
 pimento_usec_t limit_work(const limit_t *limit, uint32_t prompt,
 			  uint32_t answer)
 {
-	uint32_t slots = limit_requests(limit);
+	uint32_t slots = limit_get_max_requests(limit);
 
 	if (limit->target == CONFIG_TARGET_SERVICE)
 		return mean_service_span(limit) / slots;
-	return limit_prefill_span(limit, 0, prompt) +
+	return limit_estimate_prefill_span(limit, 0, prompt) +
 	       limit_decode_span(limit, answer) / slots;
 }
--- a/src/limit.h
+++ b/src/limit.h
@@ -77,20 +77,20 @@
 void limit_observe_failure(limit_t *limit, pimento_usec_t now);
 
 /* Prompt tokens that the engine reads per second; 0: unknown. */
-double limit_prefill_rate(const limit_t *limit);
+double limit_get_prefill_rate(const limit_t *limit);
 /* Answer tokens per second of one stream; 0: unknown. */
 double limit_decode_rate(const limit_t *limit);
 
 /* Number of requests that may be in flight, at least 1. */
-uint32_t limit_requests(const limit_t *limit);
+uint32_t limit_get_max_requests(const limit_t *limit);
 
 /*
  * Expected time until the engine has read a prompt of this many tokens, with
  * other prompts queued before it whose tokens add up to the parameter ahead. A
  * default rate is assumed until answers have been measured.
  */
-pimento_usec_t limit_prefill_span(const limit_t *limit, uint32_t ahead,
-				  uint32_t prompt);
+pimento_usec_t limit_estimate_prefill_span(const limit_t *limit, uint32_t ahead,
+					   uint32_t prompt);
 /*
  * Expected time to generate an answer of this many tokens while the engine
  * reads no prompt. A default rate is assumed until answers have been measured.
--- a/src/owner.h
+++ b/src/owner.h
@@ -24,7 +24,7 @@
  *   grant's lifetime and sends MESSAGE_PROGRESS at once, at the first token,
  *   and then every OWNER_PROGRESS_INTERVAL. Answers any other grant with
  *   MESSAGE_RELEASE, outcome RELEASE_UNUSED.
- * - On MESSAGE_REFUSE: calls route_refused() for the next step.
+ * - On MESSAGE_REFUSE: calls route_handle_refusal() for the next step.
  * - When the dispatch ended, or the caller left: sends MESSAGE_RELEASE.
  * - When an endpoint changes its owner: sends MESSAGE_PROGRESS to the new owner
  *   for each dispatch at the endpoint, so that the new owner counts its slot.
--- a/src/queue.c
+++ b/src/queue.c
@@ -53,7 +53,8 @@
 }
 
 /* Index of the first flow whose account id is not below the given one. */
-static uint32_t flow_index(const queue_tier_t *tier, pimento_id_t account)
+static uint32_t flow_insert_index(const queue_tier_t *tier,
+				  pimento_id_t account)
 {
 	uint32_t low = 0;
 	uint32_t high = tier->flow_count;
@@ -71,7 +72,7 @@
 
 static queue_flow_t *flow_find(const queue_tier_t *tier, pimento_id_t account)
 {
-	uint32_t i = flow_index(tier, account);
+	uint32_t i = flow_insert_index(tier, account);
 
 	if (i < tier->flow_count && tier->flows[i]->account == account)
 		return tier->flows[i];
@@ -108,7 +109,7 @@
 
 static queue_flow_t *flow_add(queue_tier_t *tier, pimento_id_t account)
 {
-	uint32_t i = flow_index(tier, account);
+	uint32_t i = flow_insert_index(tier, account);
 	queue_flow_t *flow;
 
 	if (tier->flow_count == tier->flow_capacity && flows_grow(tier))
--- a/src/route.c
+++ b/src/route.c
@@ -688,10 +688,11 @@
 	return true;
 }
 
-int route_refused(route_t *route, pimento_usec_t now, route_retry_t *retry,
-		  const route_query_t *query, pimento_usec_t client_timeout,
-		  pimento_id_t endpoint, const message_refuse_t *refuse,
-		  route_choice_t *choice, uint8_t *hops)
+int route_handle_refusal(route_t *route, pimento_usec_t now,
+			 route_retry_t *retry, const route_query_t *query,
+			 pimento_usec_t client_timeout, pimento_id_t endpoint,
+			 const message_refuse_t *refuse, route_choice_t *choice,
+			 uint8_t *hops)
 {
 	if (refuse->summary.endpoint)
 		route_update_summary(route, now, &refuse->summary);
--- a/src/route.h
+++ b/src/route.h
@@ -134,9 +134,10 @@
  * or refuses it together with everything of lower priority. So when the request
  * is rejected, nothing of lower priority is waiting at any reachable owner.
  */
-int route_refused(route_t *route, pimento_usec_t now, route_retry_t *retry,
-		  const route_query_t *query, pimento_usec_t client_timeout,
-		  pimento_id_t endpoint, const message_refuse_t *refuse,
-		  route_choice_t *choice, uint8_t *hops);
+int route_handle_refusal(route_t *route, pimento_usec_t now,
+			 route_retry_t *retry, const route_query_t *query,
+			 pimento_usec_t client_timeout, pimento_id_t endpoint,
+			 const message_refuse_t *refuse, route_choice_t *choice,
+			 uint8_t *hops);
 
 #endif
--- a/test/test_limit.c
+++ b/test/test_limit.c
@@ -33,9 +33,9 @@
 	observe_first_tokens(10000, PIMENTO_SEC, 4, 40000);
 	for (int i = 0; i < SAMPLES; i++)
 		limit_observe_decode(&limit, 50, PIMENTO_SEC);
-	ck_assert_double_eq_tol(limit_prefill_rate(&limit), 10000, 1);
+	ck_assert_double_eq_tol(limit_get_prefill_rate(&limit), 10000, 1);
 	ck_assert_double_eq_tol(limit_decode_rate(&limit), 50, 0.1);
-	ck_assert_uint_eq(limit_requests(&limit), REQUESTS);
+	ck_assert_uint_eq(limit_get_max_requests(&limit), REQUESTS);
 }
 END_TEST
 
@@ -48,7 +48,7 @@
 {
 	observe_first_tokens(10000, PIMENTO_SEC, 4, 40000);
 	observe_first_tokens(100, PIMENTO_SEC, REQUESTS, 40000);
-	ck_assert_uint_lt(limit_requests(&limit), REQUESTS / 2);
+	ck_assert_uint_lt(limit_get_max_requests(&limit), REQUESTS / 2);
 }
 END_TEST
 
@@ -69,7 +69,7 @@
 					  4 * PIMENTO_SEC, &load));
 	ck_assert(!limit_tokens_fit(&limit, 400000));
 	ck_assert(limit_tokens_fit(&limit, 300000));
-	ck_assert_uint_eq(limit_requests(&limit), REQUESTS);
+	ck_assert_uint_eq(limit_get_max_requests(&limit), REQUESTS);
 }
 END_TEST
 
@@ -85,7 +85,7 @@
 	for (int i = 0; i < 10 * SAMPLES; i++)
 		limit_observe_service(&limit, i * PIMENTO_SEC,
 				      (i % 10 + 1) * 20 * PIMENTO_MSEC, &load);
-	ck_assert_uint_eq(limit_requests(&limit), REQUESTS);
+	ck_assert_uint_eq(limit_get_max_requests(&limit), REQUESTS);
 }
 END_TEST
 
--- a/test/test_route.c
+++ b/test/test_route.c
@@ -154,8 +154,8 @@
 	message_refuse_t refuse = { .reason = PIMENTO_EDEADLINE,
 				    .retry_after = PIMENTO_SEC };
 
-	return route_refused(&route, 0, retry, q, query.time_left, endpoint,
-			     &refuse, choice, hops);
+	return route_handle_refusal(&route, 0, retry, q, query.time_left,
+				    endpoint, &refuse, choice, hops);
 }
 
 /*
