--- a/model/own.pml
+++ b/model/own.pml
@@ -151,7 +151,9 @@
 #define REACHED
 #endif
 
-/* claim.c: claim_take(), decide_take_step(), claim_seal(), decide_seal_step() */
+/*
+ * claim.c: claim_take(), decide_take_step(), claim_seal(), decide_seal_step()
+ */
 #define ENTRY(e) \
 	:: d_step { step[e] == KNOWN -> \
 		take_sent[e] = true; \
--- a/src/claim.c
+++ b/src/claim.c
@@ -19,7 +19,7 @@
 
 #include <string.h>
 
-/* Unanswered messages are resent this often until the step's deadline. */
+/* Divisor of a step's time limit: the interval between resends of a message. */
 #define RESENDS_PER_STEP 8
 
 int claim_init(claim_t *claim, const claim_options_t *options)
--- a/src/packet.h
+++ b/src/packet.h
@@ -24,14 +24,14 @@
 } packet_kind_t;
 
 typedef struct packet_slot_reply {
-	uint32_t endpoint; /* low half of the endpoint's key */
+	uint32_t endpoint; /* low 32 bits of the endpoint's key */
 	uint64_t ticket; /* ticket of the slot request that is answered */
 	bool granted;
 	registry_report_t report; /* the owner's report on the endpoint */
 } packet_slot_reply_t;
 
 typedef struct packet_slot_release {
-	uint32_t endpoint; /* low half of the endpoint's key */
+	uint32_t endpoint; /* low 32 bits of the endpoint's key */
 	uint32_t address; /* address of the host that releases the slot */
 	/* ticket of the slot request; 0: reports an outcome, frees no slot */
 	uint64_t ticket;
@@ -41,7 +41,7 @@
 
 /* Number of requests that a host has in flight, sent to the endpoint's owner. */
 typedef struct packet_running_report {
-	uint32_t endpoint; /* low half of the endpoint's key */
+	uint32_t endpoint; /* low 32 bits of the endpoint's key */
 	uint32_t address; /* address of the reporting host */
 	/* requests that the host has in flight at the endpoint */
 	uint32_t running;
--- a/test/test_claim.c
+++ b/test/test_claim.c
@@ -187,7 +187,7 @@
 	case 'f': /* the caller names attempt 1 */
 		sim_init_entry(sim, n, 1, 5);
 		return;
-	case 'o': /* the retention passes */
+	case 'o': /* witness records exceed their retention */
 		sim->now += 2 * RETENTION;
 		return;
 	case 'w': /* all pending protocol steps end */
--- a/test/test_claim_random.c
+++ b/test/test_claim_random.c
@@ -55,7 +55,7 @@
 	action_t action;
 	pimento_usec_t when; /* time at which action is due */
 	pimento_usec_t paused; /* the process is paused until this time */
-	pimento_usec_t clock; /* how far the entry's clock is ahead */
+	pimento_usec_t clock; /* offset added to this entry's clock */
 	uint64_t digest;
 	uint32_t requested_attempt; /* attempt named by the caller, or 0 */
 	bool dead;
@@ -64,7 +64,7 @@
 
 typedef struct delivery {
 	pimento_usec_t at;
-	uint32_t to; /* index of the witness, or of the entry for a reply */
+	uint32_t to; /* index of the receiving witness or, if reply, entry */
 	uint32_t from;
 	bool reply;
 	message_t *message;
@@ -113,7 +113,10 @@
 						    (uint64_t)span);
 }
 
-/* Usually short; sometimes longer than a protocol step or than the retention. */
+/*
+ * Returns a random message delay: usually short, sometimes longer than a
+ * protocol step or than the retention of records.
+ */
 static pimento_usec_t random_delay(run_t *run)
 {
 	if (!random_chance(run, run->slow_percent))
