--- a/src/grants.c
+++ b/src/grants.c
@@ -155,8 +155,9 @@
 }
 
 /*
- * Start of a request's wait on this host's clock, moved back by its head start.
- * Orders requests of equal rank.
+ * Sort key among waiting requests of equal rank, the smallest first: the time
+ * on this host's clock at which the request was queued, minus the head start
+ * that it came with.
  */
 static pimento_usec_t queue_order_time(const grants_entry_t *entry)
 {
--- a/src/grants.h
+++ b/src/grants.h
@@ -32,7 +32,7 @@
 
 /* A host's request for a slot at an endpoint. */
 typedef struct grants_request {
-	uint32_t endpoint; /* low half of the endpoint's key */
+	uint32_t endpoint; /* low 32 bits of the endpoint's key */
 	uint32_t address; /* address of the requesting host */
 	uint64_t ticket; /* chosen by the requesting host, never reused */
 	uint64_t rank; /* urgency: a lower rank is more urgent */
--- a/src/limit.h
+++ b/src/limit.h
@@ -46,8 +46,8 @@
 
 /*
  * Learns from a request whose first token came the given span after its
- * dispatch. tokens counts its prompt and all prompts that were ahead of it at
- * the endpoint.
+ * dispatch. The parameter tokens is the length of its prompt and of all prompts
+ * that were ahead of it at the endpoint.
  */
 void limit_observe_first_token(limit_t *limit, pimento_usec_t now,
 			       uint32_t tokens, pimento_usec_t span,
@@ -66,10 +66,16 @@
 /* True if this many prompt and answer tokens may be in flight. */
 bool limit_tokens_fit(const limit_t *limit, uint64_t tokens);
 
-/* Learns the token gap from a stream that generated tokens within a span. */
+/*
+ * Learns the time between the tokens of one stream, from the number of tokens
+ * that it generated and the time that this took.
+ */
 void limit_observe_decode(limit_t *limit, uint32_t tokens, pimento_usec_t span);
 
-/* Learns from the time that a plain service took to answer under a load. */
+/*
+ * Learns from an answer of a plain service. The parameter span is the time from
+ * dispatch to answer, load is what was in flight at the service.
+ */
 void limit_observe_service(limit_t *limit, pimento_usec_t now,
 			   pimento_usec_t span, const limit_load_t *load);
 
--- a/src/owner.c
+++ b/src/owner.c
@@ -17,7 +17,7 @@
 #define RETRY_AFTER_MIN (100 * PIMENTO_MSEC)
 #define RETRY_AFTER_MAX (60 * PIMENTO_SEC)
 #define ENDPOINTS_INITIAL 8
-/* Time for the final attempts at all owners. */
+/* Time that a refused request needs for its final attempts at all owners. */
 #define REFUSAL_MARGIN (100 * PIMENTO_MSEC)
 
 /*
--- a/src/prompt_mix.h
+++ b/src/prompt_mix.h
@@ -34,7 +34,10 @@
 prompt_mix_target_t *prompt_mix_find_or_add_target(prompt_mix_t *mix,
 						   pimento_id_t name);
 
-/* Records a new request. work is in seconds of a typical endpoint's time. */
+/*
+ * Records a new request. The parameter work is in seconds of a typical
+ * endpoint's time.
+ */
 void prompt_mix_record(prompt_mix_target_t *target, pimento_usec_t now,
 		       uint8_t tier, double work, bool is_long);
 
--- a/src/reservation.h
+++ b/src/reservation.h
@@ -34,17 +34,17 @@
 	uint32_t answer_tokens; /* answer tokens generated so far */
 	/* decode time, as last reported by the entry */
 	pimento_usec_t decode_span;
-	bool has_first_token; /* the first token came, so the prompt is read */
+	bool has_first_token; /* first token came, prompt has been read */
 	uint32_t due_index; /* index in owner_t.due */
 	struct reservation *next; /* next reservation in the hash chain */
-	/* granted before this one, in the endpoint's list in_flight */
+	/* reservation granted before it, in the endpoint's list in_flight */
 	struct reservation *older;
 	struct reservation *newer;
 } reservation_t;
 
 typedef struct reservation_table {
 	reservation_t **chains;
-	uint32_t size; /* number of chains, a power of two */
+	uint32_t size; /* number of hash chains, a power of two */
 	uint32_t count;
 } reservation_table_t;
 
--- a/src/route.c
+++ b/src/route.c
@@ -29,8 +29,9 @@
 #define JITTER 0.05
 #define BEST_DECAY 0.9999
 /*
- * Part of a request's estimated time, by the best rates, that must fit into its
- * time limit. Converts seconds to microseconds.
+ * A request is feasible if its estimated time at the best rates, multiplied by
+ * this, fits into its time limit: a share of 0.3, and the conversion of the
+ * estimate from seconds to the limit's microseconds.
  */
 #define FEASIBLE_FACTOR (0.3 * PIMENTO_SEC)
 /*
