--- a/src/endpoint.c
+++ b/src/endpoint.c
@@ -105,7 +105,7 @@
 {
 	uint32_t mean = (uint32_t)(e->running_tokens / e->running);
 
-	return limit_answer_span(&e->limit, 0, 0, mean) / e->running;
+	return limit_estimate_answer_span(&e->limit, 0, 0, mean) / e->running;
 }
 
 uint32_t endpoint_tier_slots(const owner_endpoint_t *e, pimento_usec_t now,
@@ -173,7 +173,8 @@
 
 		if (!r->item.deadline || r->item.tier > tier)
 			continue;
-		left -= limit_decode_span(&e->limit, remaining_tokens(r));
+		left -= limit_estimate_decode_span(&e->limit,
+						   remaining_tokens(r));
 		if (left > 0 &&
 		    (double)left < (double)prefill_span * PREFILL_SLACK_FACTOR)
 			return false;
@@ -216,7 +217,7 @@
 {
 	if (e->config.target == CONFIG_TARGET_SERVICE)
 		return e->limit.service_samples > 0;
-	return limit_decode_rate(&e->limit) > 0;
+	return limit_get_decode_rate(&e->limit) > 0;
 }
 
 /*
@@ -233,15 +234,15 @@
 	if (e->config.target == CONFIG_TARGET_SERVICE)
 		return endpoint_speed_measured(e)
 			       ? (pimento_usec_t)(SERVICE_TIME_MARGIN *
-						  limit_answer_span(limit, 0, 0,
-								    0))
+						  limit_estimate_answer_span(
+							  limit, 0, 0, 0))
 			       : 0;
 	if (limit_get_prefill_rate(limit) > 0)
 		span += (double)limit_estimate_prefill_span(
 			limit, e->prefill_tokens, request->prompt_tokens);
-	if (limit_decode_rate(limit) > 0)
-		span += (double)limit_decode_span(limit,
-						  request->answer_tokens) *
+	if (limit_get_decode_rate(limit) > 0)
+		span += (double)limit_estimate_decode_span(
+				limit, request->answer_tokens) *
 			BATCHED_DECODE_SLOWDOWN;
 	return (pimento_usec_t)span;
 }
@@ -375,7 +376,7 @@
 	}
 	summary->waiting_tokens = e->prefill_tokens;
 	summary->prefill_rate = (float)limit_get_prefill_rate(&e->limit);
-	summary->decode_rate = (float)limit_decode_rate(&e->limit);
+	summary->decode_rate = (float)limit_get_decode_rate(&e->limit);
 	/* a plain service, whose decode_rate is in answers per second */
 	if (e->limit.service_mean > 0)
 		summary->decode_rate = (float)(1 / e->limit.service_mean);
--- a/src/limit.c
+++ b/src/limit.c
@@ -215,7 +215,7 @@
 	return limit->prefill_tokens / limit->prefill_seconds;
 }
 
-double limit_decode_rate(const limit_t *limit)
+double limit_get_decode_rate(const limit_t *limit)
 {
 	return limit->token_gap > 0 ? 1 / limit->token_gap : 0;
 }
@@ -241,7 +241,7 @@
 				PIMENTO_SEC);
 }
 
-pimento_usec_t limit_decode_span(const limit_t *limit, uint32_t answer)
+pimento_usec_t limit_estimate_decode_span(const limit_t *limit, uint32_t answer)
 {
 	double gap = limit->token_gap_min > 0 ? limit->token_gap_min
 					      : 1 / DEFAULT_DECODE_RATE;
@@ -257,13 +257,13 @@
 	return (pimento_usec_t)(seconds * PIMENTO_SEC);
 }
 
-pimento_usec_t limit_answer_span(const limit_t *limit, uint32_t ahead,
-				 uint32_t prompt, uint32_t answer)
+pimento_usec_t limit_estimate_answer_span(const limit_t *limit, uint32_t ahead,
+					  uint32_t prompt, uint32_t answer)
 {
 	if (limit->target == CONFIG_TARGET_SERVICE)
 		return mean_service_span(limit);
 	return limit_estimate_prefill_span(limit, ahead, prompt) +
-	       limit_decode_span(limit, answer);
+	       limit_estimate_decode_span(limit, answer);
 }
 
 pimento_usec_t limit_work(const limit_t *limit, uint32_t prompt,
@@ -274,5 +274,5 @@
 	if (limit->target == CONFIG_TARGET_SERVICE)
 		return mean_service_span(limit) / slots;
 	return limit_estimate_prefill_span(limit, 0, prompt) +
-	       limit_decode_span(limit, answer) / slots;
+	       limit_estimate_decode_span(limit, answer) / slots;
 }
--- a/src/limit.h
+++ b/src/limit.h
@@ -85,7 +85,7 @@
 /* Prompt tokens that the engine reads per second; 0: unknown. */
 double limit_get_prefill_rate(const limit_t *limit);
 /* Answer tokens per second of one stream; 0: unknown. */
-double limit_decode_rate(const limit_t *limit);
+double limit_get_decode_rate(const limit_t *limit);
 
 /* Number of requests that may be in flight, at least 1. */
 uint32_t limit_get_max_requests(const limit_t *limit);
@@ -101,14 +101,15 @@
  * Expected time to generate an answer of this many tokens while the engine
  * reads no prompt. A default rate is assumed until answers have been measured.
  */
-pimento_usec_t limit_decode_span(const limit_t *limit, uint32_t answer);
+pimento_usec_t limit_estimate_decode_span(const limit_t *limit,
+					  uint32_t answer);
 
 /*
  * Expected time from the dispatch of a request to its complete answer. The
  * parameter ahead is the number of prompt tokens queued before the request.
  */
-pimento_usec_t limit_answer_span(const limit_t *limit, uint32_t ahead,
-				 uint32_t prompt, uint32_t answer);
+pimento_usec_t limit_estimate_answer_span(const limit_t *limit, uint32_t ahead,
+					  uint32_t prompt, uint32_t answer);
 
 /*
  * Share of the endpoint's time that a request uses up: prompts are read one
--- a/test/test_limit.c
+++ b/test/test_limit.c
@@ -34,7 +34,7 @@
 	for (int i = 0; i < SAMPLES; i++)
 		limit_observe_decode(&limit, 50, PIMENTO_SEC);
 	ck_assert_double_eq_tol(limit_get_prefill_rate(&limit), 10000, 1);
-	ck_assert_double_eq_tol(limit_decode_rate(&limit), 50, 0.1);
+	ck_assert_double_eq_tol(limit_get_decode_rate(&limit), 50, 0.1);
 	ck_assert_uint_eq(limit_get_max_requests(&limit), REQUESTS);
 }
 END_TEST
