--- a/io/platform.c
+++ b/io/platform.c
@@ -73,7 +73,8 @@
 {
 	plan_t *plan = argument;
 
-	plan->watch = pimento_host_should_watch(control->host, &plan->interval);
+	plan->watch = pimento_host_should_watch_platform(control->host,
+							 &plan->interval);
 	plan->in_force = in_force(control, plan->hosts);
 }
 
--- a/pimentoshelf.h
+++ b/pimentoshelf.h
@@ -327,8 +327,8 @@
  * Returns how this host should read the platform now: true for a blocking
  * watch, false for polling every *interval microseconds.
  */
-bool pimento_host_should_watch(const pimento_host_t *host,
-			       pimento_usec_t *interval);
+bool pimento_host_should_watch_platform(const pimento_host_t *host,
+					pimento_usec_t *interval);
 
 /*
  * Fills in a probe, the first message to a peer of which only the address is
--- a/src/entry.c
+++ b/src/entry.c
@@ -104,7 +104,8 @@
 	return true;
 }
 
-pimento_handle_t entry_handle(const entry_table_t *table, const entry_t *entry)
+pimento_handle_t entry_get_handle(const entry_table_t *table,
+				  const entry_t *entry)
 {
 	return (uint64_t)entry->generation << 32 |
 	       (uint64_t)(entry - table->entries);
@@ -170,7 +171,7 @@
 {
 	pimento_action_t action = { .kind = PIMENTO_ACTION_END };
 
-	action.request = entry_handle(table, entry);
+	action.request = entry_get_handle(table, entry);
 	entry_free(table, entry);
 	entry_queue_action(table, &action);
 }
@@ -181,7 +182,7 @@
 {
 	pimento_action_t action = { .kind = PIMENTO_ACTION_REFUSE };
 
-	action.request = entry_handle(table, entry);
+	action.request = entry_get_handle(table, entry);
 	action.verdict = verdict;
 	action.error = error;
 	action.retry_after = retry_after;
@@ -199,7 +200,7 @@
 	pimento_action_t action = { .kind = PIMENTO_ACTION_RESUME };
 
 	entry->state = ENTRY_RESUMING;
-	action.request = entry_handle(table, entry);
+	action.request = entry_get_handle(table, entry);
 	action.endpoint = entry->resume_endpoint;
 	action.stream = entry->resume_stream;
 	entry_schedule(table, entry, entry->deadline + RESUME_GRACE);
@@ -266,14 +267,14 @@
 	entry->arrived_at = now;
 	entry->deadline = now + request->client_timeout;
 	entry->id.hi = table->options.incarnation;
-	entry->id.lo = entry_handle(table, entry);
+	entry->id.lo = entry_get_handle(table, entry);
 	if (witnesses)
 		error = entry_start_claim(table, now, entry, witnesses, age);
 	if (error) {
 		entry_free(table, entry);
 		return error;
 	}
-	*handle = entry_handle(table, entry);
+	*handle = entry_get_handle(table, entry);
 	*id = entry->id;
 	table->counters.accepted++;
 	table->retry_budget += RETRY_BUDGET_RATIO;
@@ -498,7 +499,7 @@
 		return;
 	}
 	if (entry->state == ENTRY_DISPATCHED) {
-		action.request = entry_handle(table, entry);
+		action.request = entry_get_handle(table, entry);
 		action.endpoint = entry->endpoint;
 		action.stream = entry->id;
 		entry_queue_action(table, &action);
--- a/src/entry_claim.c
+++ b/src/entry_claim.c
@@ -33,7 +33,7 @@
 	pimento_action_t action = { .kind = PIMENTO_ACTION_DISPATCH };
 
 	entry->state = ENTRY_CONNECTING;
-	action.request = entry_handle(table, entry);
+	action.request = entry_get_handle(table, entry);
 	action.endpoint = entry->endpoint;
 	action.stream = entry->id;
 	entry_schedule(table, entry, entry->deadline);
@@ -75,7 +75,7 @@
 	const message_dispatch_t *held = &entry->claim->held;
 	pimento_action_t action = { .kind = PIMENTO_ACTION_REPLAY };
 
-	action.request = entry_handle(table, entry);
+	action.request = entry_get_handle(table, entry);
 	action.status = held->status;
 	action.answer = malloc(held->answer_size);
 	if (!action.answer) {
--- a/src/entry_internal.h
+++ b/src/entry_internal.h
@@ -13,7 +13,8 @@
 
 /* Returns the entry of a handle, or NULL if its request was answered. */
 entry_t *entry_find(entry_table_t *table, pimento_handle_t handle);
-pimento_handle_t entry_handle(const entry_table_t *table, const entry_t *entry);
+pimento_handle_t entry_get_handle(const entry_table_t *table,
+				  const entry_t *entry);
 
 /* Sets the next time-out of an entry; a query of its claim may be due earlier. */
 void entry_schedule(entry_table_t *table, entry_t *entry, pimento_usec_t at);
--- a/src/host.c
+++ b/src/host.c
@@ -404,8 +404,8 @@
 	return membership_is_fresh(&host->membership, host->now);
 }
 
-bool pimento_host_should_watch(const pimento_host_t *host,
-			       pimento_usec_t *interval)
+bool pimento_host_should_watch_platform(const pimento_host_t *host,
+					pimento_usec_t *interval)
 {
 	pimento_id_t live[LIVE_HOSTS_MAX];
 	uint32_t count =
