--- a/daemon/ctl_file.c
+++ b/daemon/ctl_file.c
@@ -114,7 +114,7 @@
 	if (error)
 		return error;
 	strbuf_init(&text);
-	error = questionnaire_generate(&answers, &text);
+	error = questionnaire_generate_config(&answers, &text);
 	if (!error)
 		error = pimento_config_parse(config, strbuf_str(&text),
 					     text.length, path, problems);
--- a/daemon/ctl_generate.c
+++ b/daemon/ctl_generate.c
@@ -38,7 +38,7 @@
 		  problems_t *problems)
 {
 	pimento_config_t config;
-	int error = questionnaire_generate(answers, text);
+	int error = questionnaire_generate_config(answers, text);
 
 	if (error)
 		return error;
--- a/src/questionnaire.h
+++ b/src/questionnaire.h
@@ -113,7 +113,7 @@
  * bytes, whatever their comments, white space and order of keys. The text is
  * always accepted by pimento_config_parse(). Returns 0 or PIMENTO_ENOMEM.
  */
-int questionnaire_generate(const questionnaire_t *questionnaire,
-			   strbuf_t *text);
+int questionnaire_generate_config(const questionnaire_t *questionnaire,
+				  strbuf_t *text);
 
 #endif
--- a/src/questionnaire_generate.c
+++ b/src/questionnaire_generate.c
@@ -291,7 +291,8 @@
 	return error ? error : strbuf_error(body);
 }
 
-int questionnaire_generate(const questionnaire_t *questionnaire, strbuf_t *text)
+int questionnaire_generate_config(const questionnaire_t *questionnaire,
+				  strbuf_t *text)
 {
 	strbuf_t body;
 	int error;
--- a/test/test_questionnaire.c
+++ b/test/test_questionnaire.c
@@ -46,7 +46,7 @@
 				    &problems);
 	if (error)
 		return error;
-	error = questionnaire_generate(&answers, to);
+	error = questionnaire_generate_config(&answers, to);
 	questionnaire_finish(&answers);
 	return error;
 }
