--- a/src/placement.c
+++ b/src/placement.c
@@ -197,9 +197,9 @@
  * can still meet its objective: a slot that falls free at another endpoint a
  * little later would do.
  */
-static bool misses_first_event(const registry_endpoint_t *endpoint,
-			       const registry_service_t *service,
-			       const placement_request_t *request)
+static bool misses_first_event_objective(const registry_endpoint_t *endpoint,
+					 const registry_service_t *service,
+					 const placement_request_t *request)
 {
 	return !request->overdue && request->first_event_within > 0 &&
 	       expected_first_event(endpoint, service, request) >
@@ -235,7 +235,7 @@
 	if (completion > (double)request->time_left ||
 	    !meets_gap_objective(endpoint, service, request) ||
 	    exceeds_slot_time(endpoint, service, request) ||
-	    misses_first_event(endpoint, service, request))
+	    misses_first_event_objective(endpoint, service, request))
 		return FIT_MARGINAL;
 	return FIT_GOOD;
 }
--- a/src/quota_fleet.c
+++ b/src/quota_fleet.c
@@ -112,9 +112,9 @@
 	return decision;
 }
 
-static quota_decision_t decide_locally(quota_fleet_t *fleet,
-				       const quota_message_t *request,
-				       pimento_usec_t now)
+static quota_decision_t decide_request_locally(quota_fleet_t *fleet,
+					       const quota_message_t *request,
+					       pimento_usec_t now)
 {
 	fleet->local_decisions++;
 	fleet->fallback.limit_ratio = 1.0 / peers_host_count(fleet->peers, now);
@@ -160,8 +160,8 @@
  * Sends a pending request to the next host or decides it here. Returns true if
  * it was decided, which changes the table of pending requests.
  */
-static bool forward_or_decide(quota_fleet_t *fleet, uint32_t index,
-			      pimento_usec_t now)
+static bool forward_or_decide_request(quota_fleet_t *fleet, uint32_t index,
+				      pimento_usec_t now)
 {
 	quota_pending_t *pending = &fleet->pending[index];
 	uint32_t address;
@@ -183,7 +183,8 @@
 					       pending->request.account),
 			now);
 	else
-		decision = decide_locally(fleet, &pending->request, now);
+		decision =
+			decide_request_locally(fleet, &pending->request, now);
 	finish_request(fleet, index, &decision);
 	return true;
 }
@@ -222,7 +223,7 @@
 			     .version = request->version },
 		.requested_at = now,
 	};
-	(void)forward_or_decide(fleet, fleet->pending_count - 1, now);
+	(void)forward_or_decide_request(fleet, fleet->pending_count - 1, now);
 	return 0;
 }
 
@@ -325,7 +326,7 @@
 			fleet->unanswered++;
 			mark_unresponsive(fleet, pending->sent_to, now);
 		}
-		if (forward_or_decide(fleet, i, now))
+		if (forward_or_decide_request(fleet, i, now))
 			return true;
 	}
 	return false;
