--- a/src/member_table.c
+++ b/src/member_table.c
@@ -293,7 +293,7 @@
 	put_updates(m, p, room, from, from);
 }
 
-void member_put_anti_entropy(membership_t *m, message_probe_t *p)
+void member_put_anti_entropy_facts(membership_t *m, message_probe_t *p)
 {
 	uint32_t sent = 0;
 
--- a/src/member_table.h
+++ b/src/member_table.h
@@ -72,6 +72,6 @@
 /* The member_put_*() functions add facts to a message as far as it has room. */
 void member_put_facts(message_probe_t *p, const member_t *member);
 void member_put_updates(membership_t *m, message_probe_t *p);
-void member_put_anti_entropy(membership_t *m, message_probe_t *p);
+void member_put_anti_entropy_facts(membership_t *m, message_probe_t *p);
 
 #endif
--- a/src/membership.c
+++ b/src/membership.c
@@ -185,7 +185,7 @@
 	     member_is_leaving(member)))
 		member_put_facts(p, member);
 	member_put_updates(m, p);
-	member_put_anti_entropy(m, p);
+	member_put_anti_entropy_facts(m, p);
 	outbox_put(m->out, to, &message);
 }
 
@@ -452,7 +452,7 @@
 	facts->incarnation = membership->options.incarnation;
 	member_put_facts(facts, member_self(membership));
 	member_put_updates(membership, facts);
-	member_put_anti_entropy(membership, facts);
+	member_put_anti_entropy_facts(membership, facts);
 }
 
 int membership_merge_facts(membership_t *membership, pimento_usec_t now,
--- a/src/peers.c
+++ b/src/peers.c
@@ -275,7 +275,7 @@
 	return !peer->seen || now - peer->last_seen > UNRESPONSIVE_AFTER;
 }
 
-static bool is_expired(const peer_t *peer, pimento_usec_t now)
+static bool peer_is_expired(const peer_t *peer, pimento_usec_t now)
 {
 	pimento_usec_t since = peer->seen ? peer->last_seen : peer->added_at;
 
@@ -287,7 +287,7 @@
 	uint32_t kept = 0;
 
 	for (uint32_t i = 0; i < peers->count; i++) {
-		if (is_expired(peers->list[i], now))
+		if (peer_is_expired(peers->list[i], now))
 			free(peers->list[i]);
 		else
 			peers->list[kept++] = peers->list[i];
--- a/test/peers_sim.c
+++ b/test/peers_sim.c
@@ -84,8 +84,8 @@
  * Messages to a frozen host are lost here, whereas a real host would read them
  * after it resumes.
  */
-static void deliver(peers_sim_t *sim, uint32_t from, gossip_message_t *message,
-		    uint32_t address)
+static void deliver_gossip(peers_sim_t *sim, uint32_t from,
+			   gossip_message_t *message, uint32_t address)
 {
 	pimento_usec_t confirmed_at[REPLICA_KIND_COUNT];
 	quota_t *quota = sim->hosts[from].quota;
@@ -122,7 +122,7 @@
 	uint32_t address;
 
 	while (peers_next_probe(&sim->hosts[host].peers, &address, &message))
-		deliver(sim, host, &message, address);
+		deliver_gossip(sim, host, &message, address);
 }
 
 static void send_gossip(peers_sim_t *sim, uint32_t host)
@@ -135,7 +135,7 @@
 	peers_put_membership(&h->peers, &message);
 	count = peers_next_targets(&h->peers, sim->now, sim->targets, targets);
 	for (uint32_t i = 0; i < count; i++)
-		deliver(sim, host, &message, targets[i]->address);
+		deliver_gossip(sim, host, &message, targets[i]->address);
 }
 
 void peers_sim_run(peers_sim_t *sim, pimento_usec_t span)
--- a/test/test_config_sync.c
+++ b/test/test_config_sync.c
@@ -38,7 +38,7 @@
  * Delivers messages until all outboxes are empty. Returns their number and adds
  * the bytes of transferred parts to *bytes.
  */
-static uint32_t deliver(pimento_usec_t now, size_t *bytes)
+static uint32_t deliver_messages(pimento_usec_t now, size_t *bytes)
 {
 	uint32_t messages = 0;
 	bool idle;
@@ -154,7 +154,7 @@
 			  0);
 	config_sync_resolve_pending(&hosts[0], 0, CONFIG_SYNC_CONFIG, true);
 	config_sync_learn_revision(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 4);
-	deliver(0, &bytes);
+	deliver_messages(0, &bytes);
 	ck_assert_uint_eq(bytes, length);
 	ck_assert_str_eq(config_sync_pending(&hosts[1], CONFIG_SYNC_CONFIG,
 					     &revision, &length),
@@ -168,7 +168,7 @@
 	config_sync_submit(&hosts[0], 0, CONFIG_SYNC_CONFIG, 5, text, length);
 	config_sync_resolve_pending(&hosts[0], 0, CONFIG_SYNC_CONFIG, true);
 	config_sync_learn_revision(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 5);
-	deliver(0, &bytes);
+	deliver_messages(0, &bytes);
 	ck_assert_uint_lt(bytes, 100);
 	ck_assert_str_eq(config_sync_pending(&hosts[1], CONFIG_SYNC_CONFIG,
 					     &revision, &length),
@@ -196,14 +196,14 @@
 	config_sync_submit(&hosts[0], 0, CONFIG_SYNC_CONFIG, 3, "bad", 3);
 	config_sync_resolve_pending(&hosts[0], 0, CONFIG_SYNC_CONFIG, true);
 	config_sync_learn_revision(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 3);
-	deliver(0, NULL);
+	deliver_messages(0, NULL);
 	ck_assert_ptr_nonnull(config_sync_pending(&hosts[1], CONFIG_SYNC_CONFIG,
 						  &revision, &length));
 	config_sync_resolve_pending(&hosts[1], 0, CONFIG_SYNC_CONFIG, false);
 	ck_assert_uint_eq(config_sync_revision(&hosts[1], CONFIG_SYNC_CONFIG),
 			  0);
 	config_sync_learn_revision(&hosts[1], 0, 1, CONFIG_SYNC_CONFIG, 3);
-	ck_assert_uint_eq(deliver(0, NULL), 0);
+	ck_assert_uint_eq(deliver_messages(0, NULL), 0);
 	ck_assert_int_eq(config_sync_submit(&hosts[1], 0, CONFIG_SYNC_CONFIG, 3,
 					    "bad", 3),
 			 PIMENTO_ESTALE);
@@ -242,7 +242,7 @@
 	/* host 1 is dead: the next pull is lost */
 	outbox_take(&outboxes[2], &to, &m);
 	config_sync_tick(&hosts[2], config_sync_deadline(&hosts[2]));
-	deliver(0, NULL);
+	deliver_messages(0, NULL);
 	ck_assert_str_eq(config_sync_pending(&hosts[2], CONFIG_SYNC_CONFIG,
 					     &revision, &length),
 			 text);
