--- a/io/mesh.c
+++ b/io/mesh.c
@@ -385,7 +385,7 @@
 
 	if (fetch->body.length + length > SNAPSHOT_BYTES_MAX)
 		return; /* stalls, and is aborted */
-	progress_add(&fetch->progress, length, sys_now());
+	progress_add_bytes(&fetch->progress, length, sys_now());
 	strbuf_add(&fetch->body, bytes, length);
 }
 
--- a/src/endpoint.c
+++ b/src/endpoint.c
@@ -340,8 +340,8 @@
 		e->memory_full_until = now + MEMORY_FULL_HOLD_TIME;
 }
 
-void endpoint_update_answered(owner_endpoint_t *e, reservation_t *r,
-			      uint32_t answered)
+void endpoint_update_answer_tokens(owner_endpoint_t *e, reservation_t *r,
+				   uint32_t answered)
 {
 	e->running_tokens -= remaining_tokens(r);
 	r->answer_tokens = answered;
--- a/src/endpoint.h
+++ b/src/endpoint.h
@@ -103,8 +103,8 @@
 				const reservation_t *r);
 
 /* Records the number of answer tokens received so far. */
-void endpoint_update_answered(owner_endpoint_t *endpoint, reservation_t *r,
-			      uint32_t answered);
+void endpoint_update_answer_tokens(owner_endpoint_t *endpoint, reservation_t *r,
+				   uint32_t answered);
 
 /*
  * Derives from an endpoint's load report how many of its requests were not
--- a/src/owner.c
+++ b/src/owner.c
@@ -557,7 +557,7 @@
 		endpoint_prefill_done(r->endpoint, r);
 	else
 		endpoint_check_first_token(r->endpoint, now, r);
-	endpoint_update_answered(r->endpoint, r, reported->answer_tokens);
+	endpoint_update_answer_tokens(r->endpoint, r, reported->answer_tokens);
 	r->due = now + OWNER_LEASE;
 	heap_put(&owner->due, r, r->due);
 	grant_waiting_requests(owner, now, r->endpoint);
--- a/src/progress.c
+++ b/src/progress.c
@@ -12,7 +12,7 @@
 	*progress = (progress_t){ .started = now, .last_received = now };
 }
 
-void progress_add(progress_t *progress, size_t bytes, pimento_usec_t now)
+void progress_add_bytes(progress_t *progress, size_t bytes, pimento_usec_t now)
 {
 	progress->bytes += bytes;
 	progress->last_received = now;
--- a/src/progress.h
+++ b/src/progress.h
@@ -21,7 +21,7 @@
 
 void progress_begin(progress_t *progress, pimento_usec_t now);
 /* Records that more bytes of the transfer have been received. */
-void progress_add(progress_t *progress, size_t bytes, pimento_usec_t now);
+void progress_add_bytes(progress_t *progress, size_t bytes, pimento_usec_t now);
 
 /*
  * True if no byte of the transfer has been received for longer than idle_limit,
--- a/test/test_progress.c
+++ b/test/test_progress.c
@@ -32,7 +32,7 @@
 	progress_begin(&progress, now);
 	for (int i = 0; i < transfer_cases[_i].chunks; i++) {
 		now += transfer_cases[_i].interval_ms * PIMENTO_MSEC;
-		progress_add(&progress, CHUNK_BYTES, now);
+		progress_add_bytes(&progress, CHUNK_BYTES, now);
 	}
 	now += transfer_cases[_i].wait_ms * PIMENTO_MSEC;
 	ck_assert_msg(progress_stalled(&progress, IDLE_LIMIT_MS * PIMENTO_MSEC,
--- a/test/test_replica.c
+++ b/test/test_replica.c
@@ -9,7 +9,7 @@
 static replica_t replica;
 static uint32_t changes;
 
-static void count_change(void *context, const replica_record_t *record)
+static void count_replica_change(void *context, const replica_record_t *record)
 {
 	(void)context;
 	(void)record;
@@ -19,7 +19,7 @@
 static void setup(void)
 {
 	changes = 0;
-	replica_init(&replica, count_change, NULL);
+	replica_init(&replica, count_replica_change, NULL);
 }
 
 static void teardown(void)
--- a/test/test_snapshot.c
+++ b/test/test_snapshot.c
@@ -13,7 +13,7 @@
 static replica_t target;
 static uint32_t changes; /* changes applied to the target replica */
 
-static void count_change(void *context, const replica_record_t *record)
+static void count_replica_change(void *context, const replica_record_t *record)
 {
 	(void)context;
 	(void)record;
@@ -30,7 +30,7 @@
 {
 	changes = 0;
 	replica_init(&source, ignore_change, NULL);
-	replica_init(&target, count_change, NULL);
+	replica_init(&target, count_replica_change, NULL);
 }
 
 static void teardown(void)
