--- a/src/entry.h
+++ b/src/entry.h
@@ -134,8 +134,8 @@
 void entry_finish(entry_table_t *table);
 
 /*
- * Accepts a request and starts to reserve a slot for it. witnesses is NULL for
- * a request without a key; age is the key's age, or CLAIM_AGE_UNKNOWN. Returns
+ * Accepts a request and starts to reserve a slot for it. `witnesses` is NULL for
+ * a request without a key; `age` is the key's age, or CLAIM_AGE_UNKNOWN. Returns
  * 0, PIMENTO_EFULL or PIMENTO_ENOMEM, or PIMENTO_EINVAL for unusable witnesses.
  */
 int entry_submit(entry_table_t *table, pimento_usec_t now,
--- a/src/host.h
+++ b/src/host.h
@@ -61,7 +61,7 @@
 
 /*
  * Returns the endpoint at an index with its owner and, if this host owns it,
- * its load, for status pages; false if index is past the last endpoint.
+ * its load, for status pages; false if `index` is past the last endpoint.
  */
 bool host_endpoint_status(const pimento_host_t *host, pimento_usec_t now,
 			  uint32_t index, const config_endpoint_t **config,
--- a/test/gossip_sim.c
+++ b/test/gossip_sim.c
@@ -260,8 +260,9 @@
 }
 
 /*
- * Returns the lowest revision in force on the other hosts that a host can reach
- * when its pause ends; 0 if one of them is paused itself or not fresh.
+ * Called when the pause of host `woken` ends. Returns the lowest revision in
+ * force on the other hosts that it can reach; 0 if there are none, or if one of
+ * them is paused or its membership state is not fresh.
  */
 static uint64_t min_revision_in_force(const gossip_sim_t *sim,
 				      const gossip_sim_host_t *woken)
--- a/test/netsim.c
+++ b/test/netsim.c
@@ -339,7 +339,7 @@
 	    action->error == PIMENTO_EMISMATCH)
 		return;
 	tracked->not_run = true;
-	/* If the attempt is unknown, "not run" holds for the first attempt. */
+	/* A "not run" verdict without an attempt number is for attempt 1. */
 	tracked->attempt = action->attempt ? action->attempt : 1;
 	check_not_run(netsim, tracked);
 }
