--- a/src/config.h
+++ b/src/config.h
@@ -183,7 +183,7 @@
 	char name[PIMENTO_NAME_MAX];
 	pimento_id_t id;
 	char datacentre[PIMENTO_NAME_MAX];
-	/* numeric IP address; of an entry host, that of its peer port */
+	/* numeric IP address; for an entry host, that of its peer port */
 	char address[64];
 	uint16_t port;
 	bool is_endpoint; /* runs an endpoint; false for an entry host */
--- a/src/config_diff.c
+++ b/src/config_diff.c
@@ -268,8 +268,9 @@
 }
 
 /*
- * Writes the change of the account at index first, with all accounts that have
- * the same change, and empties their sentences so that each is written once.
+ * Writes the sentence of account_changes[first] with the names of all accounts
+ * that have the same sentence, and empties the sentences of these accounts so
+ * that each account is written once.
  */
 static void add_account_changes(diff_t *diff, const char *name,
 				account_change_t *account_changes,
