--- a/src/quota_share.c
+++ b/src/quota_share.c
@@ -30,7 +30,10 @@
 		   DEMAND_DECAY_SECONDS);
 }
 
-/* Tokens per second requested lately by the given number of urgent tiers. */
+/*
+ * Returns the tokens per second requested lately by the most urgent tiers;
+ * `tiers` is the number of these tiers.
+ */
 static double first_tiers_demand(const quota_share_t *share, uint32_t tiers,
 				 pimento_usec_t now)
 {
--- a/src/quota_share.h
+++ b/src/quota_share.h
@@ -25,7 +25,10 @@
 	pimento_usec_t refilled_at;
 } quota_share_t;
 
-/* Adds a request for tokens to the demand, whether it is admitted or not. */
+/*
+ * Adds the tokens of a request to the demand of its tier, whether the request is
+ * admitted or not.
+ */
 void quota_share_add_demand(quota_share_t *share, uint32_t tier, double tokens,
 			    pimento_usec_t now);
 
