--- a/src/member_table.c
+++ b/src/member_table.c
@@ -259,8 +259,9 @@
 }
 
 /*
- * Returns the highest number of sends left such that the members with that many
- * or more fill `room` facts; 1 if all fit.
+ * A message has room for `room` facts, and members with the most sends left go
+ * first. Returns the highest number of sends left that at least `room` members
+ * have or exceed; 1 if there are fewer such members.
  */
 static uint32_t sends_left_threshold(const membership_t *m, uint32_t room)
 {
--- a/src/peers.h
+++ b/src/peers.h
@@ -149,19 +149,18 @@
 int peers_add(peers_t *peers, uint32_t address, bool seed, pimento_usec_t now);
 
 /*
- * Processes a gossip message. For each collection, sets its element of
- * confirmed_at to a time, on this host's clock, at or after which the sender's
- * replica was surely confirmed, or to INT64_MIN if none is known. Returns the
- * peer; NULL if the message is outdated or from this host itself, or if memory
- * is exhausted.
+ * Processes a gossip message. For each collection, stores in confirmed_at a
+ * lower bound, on this host's clock, of the time when the sender's replica was
+ * last confirmed; INT64_MIN if no bound is known. Returns the peer; NULL if the
+ * message is outdated or from this host itself, or if memory is exhausted.
  */
 peer_t *peers_receive(peers_t *peers, const gossip_message_t *message,
 		      pimento_usec_t now,
 		      pimento_usec_t confirmed_at[REPLICA_KIND_COUNT]);
 
 /*
- * Stores the next gossip targets in turn, at most max, and returns their
- * number.
+ * Stores the next gossip targets in turn, at most `max` of them, and returns
+ * their number.
  */
 uint32_t peers_next_targets(peers_t *peers, pimento_usec_t now, uint32_t max,
 			    peer_t **targets);
--- a/test/test_config_sync.c
+++ b/test/test_config_sync.c
@@ -118,13 +118,13 @@
 	{ "\x80", 1, PIMENTO_EPARSE }, /* truncated number */
 	{ "\x09"
 	  "\x00",
-	  2, PIMENTO_EPARSE }, /* copies 4 bytes from a base of 3 */
+	  2, PIMENTO_EPARSE }, /* copies 4 bytes, the base has 3 */
 	{ "\x03"
 	  "\x04",
 	  2, PIMENTO_EPARSE }, /* copies from beyond the end of the base */
 	{ "\x06"
 	  "a",
-	  2, PIMENTO_EPARSE }, /* fewer new bytes than stated */
+	  2, PIMENTO_EPARSE }, /* has fewer new bytes than it states */
 	{ "\x7e", 1, PIMENTO_ETOOBIG },
 };
 
