--- a/src/replica.h
+++ b/src/replica.h
@@ -105,8 +105,8 @@
 void replica_batch_cancel(replica_t *replica);
 
 /*
- * Records that a read of the store that began at start covered all changes up to
- * revision. Has no effect on a replica that is older than revision.
+ * Records that a read of the store that began at time `start` covered all
+ * changes up to `revision`. Has no effect on a replica with a lower revision.
  */
 void replica_confirm(replica_t *replica, uint64_t revision,
 		     pimento_usec_t start);
--- a/test/test_snapshot.c
+++ b/test/test_snapshot.c
@@ -56,8 +56,8 @@
 }
 
 /*
- * Sends a snapshot from source to target. Returns the result of
- * snapshot_apply() and sets length to the encoded size in bytes.
+ * Applies a snapshot of the replica `source` to the replica `target`. Returns
+ * the result of snapshot_apply() and sets *length to the encoded size in bytes.
  */
 static int transfer_snapshot(size_t *length)
 {
